--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -103,9 +103,9 @@
         read = [(_name_of(item), _read(item)) for item in items]
         found = {name: record for name, record in read if record is not None}
         found.pop(self._own_name, None)
-        before = set(self._directory.doubted)
+        before = set(self._directory.unconfirmed)
         self._directory.replace(self._time(), found)
-        for name in self._directory.doubted:
+        for name in self._directory.unconfirmed:
             if name not in before:
                 log.info("peer_doubted", peer=name, cause="no record among all")
         self._on_change()
@@ -117,7 +117,7 @@
             return
         record = None if item.value is None else _read(item)
         if record is None:
-            self._directory.removed(self._time(), [name])
+            self._directory.records_removed(self._time(), [name])
             log.info("peer_doubted", peer=name, revision=item.revision)
         else:
             self._directory.put(name, record)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_changes.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_changes.py
@@ -47,6 +47,6 @@
 
     def greeted(self, name: str, record: PeerRecord) -> None:
         """Take a peer's word that it lives."""
-        if self._peers.greeted(self._time(), name, record):
+        if self._peers.note_greeting(self._time(), name, record):
             log.info("peer_met", peer=name, address=record.address)
             self.changed()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_checks.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_checks.py
@@ -32,7 +32,7 @@
 
     def wake(self) -> None:
         """Ask at once, as there is a new doubt."""
-        if self._directory.doubted:
+        if self._directory.unconfirmed:
             self._doubts.set()
 
     async def run(self) -> None:
@@ -40,8 +40,8 @@
         while True:
             await self._doubts.wait()
             self._doubts.clear()
-            await asyncio.gather(*(self._ask(n) for n in self._directory.doubted))
-            if self._directory.doubted:
+            await asyncio.gather(*(self._ask(n) for n in self._directory.unconfirmed))
+            if self._directory.unconfirmed:
                 await asyncio.sleep(CHECK_S)
                 self.wake()
 
@@ -54,8 +54,8 @@
             log.info("peer_silent", peer=peer, cause=str(error))
             return
         if not answer.leaving:
-            self._directory.stays(self._time(), peer)
+            self._directory.note_alive(self._time(), peer)
             return
-        if self._directory.leaves(self._time(), peer):
+        if self._directory.note_left(self._time(), peer):
             log.info("peer_left", peer=peer)
             self._on_change()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/record_follower.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/record_follower.py
@@ -60,7 +60,7 @@
         else:
             self._items[item.key] = item
         if endpoint is None:
-            self._directory.removed(self._time(), name)
+            self._directory.record_removed(self._time(), name)
             log.info("endpoint_removed", endpoint=name, revision=item.revision)
         else:
             self._directory.put(endpoint)
@@ -80,11 +80,11 @@
 
     def lost(self) -> None:
         """Keep what is known."""
-        self._directory.lost()
+        self._directory.connection_lost()
 
     def regained(self) -> None:
         """Expect records that ran out to come back."""
-        self._directory.regained(self._time())
+        self._directory.connection_restored(self._time())
 
     def expire(self) -> None:
         """Drop endpoints whose records have not come back."""
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/orders.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/orders.py
@@ -13,7 +13,12 @@
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.daemon.sidecar.weights import WeightsError, copy_weights
 from amaranthtally.platform import LeaseClient
-from amaranthtally.policy import EngineModels, ModelPlan, WantedModels, plan_orders
+from amaranthtally.policy import (
+    DesiredModels,
+    EngineModels,
+    ModelPlan,
+    plan_model_orders,
+)
 from amaranthtally.policy.model_orders import Load, Order, SetRole, Unload
 from amaranthtally.settings import (
     Scope,
@@ -55,14 +60,14 @@
             settings.order_lease_ttl,
         )
         self._tree = Tree()
-        self._wanted = WantedModels()
+        self._wanted = DesiredModels()
         self._retry_s = RETRY_S
 
     def settings_changed(self, tree: Tree) -> None:
         """Take the models and the role of this endpoint's registration."""
         self._tree = tree
         table = tree.get(Scope(), ENDPOINT_PREFIX + self._settings.endpoint) or {}
-        wanted = WantedModels(
+        wanted = DesiredModels(
             tuple(table.get("models", ())),
             table.get("role", Role.BOTH.value),
             table.get("model_slots", 0),
@@ -107,15 +112,15 @@
         held = await self._engine.state()
         before = self._served.answered
         self._served.heard(held)
-        plan = plan_orders(
+        plan = plan_model_orders(
             self._wanted,
             held,
             self._served.use_of_models(self._needed(held)),
             self._settings.unload_wait + longest_deadline_s(self._tree),
         )
         self._served.follow(plan)
-        if plan.stuck:
-            self._note(f"{plan.stuck}; raise model_slots or take a model off")
+        if plan.blocked_reason:
+            self._note(f"{plan.blocked_reason}; raise model_slots or take a model off")
         if self._served.answered != before:
             await self._announce()
         return plan
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/served_models.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/served_models.py
@@ -6,7 +6,7 @@
 from contextlib import contextmanager
 from dataclasses import replace
 
-from amaranthtally.policy import EngineModels, ModelPlan, ModelUse, WantedModels
+from amaranthtally.policy import DesiredModels, EngineModels, ModelPlan, ModelUsage
 from amaranthtally.wire import ModelState, StageCall
 
 __all__ = ["ServedModels"]
@@ -21,7 +21,7 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._wanted = WantedModels()
+        self._wanted = DesiredModels()
         self._held: EngineModels | None = None
         self._retired: frozenset[str] = frozenset()
         self._paused = False
@@ -90,7 +90,7 @@
 
     # Orders
 
-    def want(self, wanted: WantedModels) -> None:
+    def want(self, wanted: DesiredModels) -> None:
         """Take what the operators want."""
         if wanted == self._wanted:
             return
@@ -107,15 +107,15 @@
             self._busy_at.setdefault(model, now)
         self._held = held
 
-    def use_of_models(self, needed: frozenset[str]) -> ModelUse:
+    def use_of_models(self, needed: frozenset[str]) -> ModelUsage:
         """Return what the plan of orders has to know of the calls."""
         now = self._clock()
-        quiet_s = {
+        idle_s = {
             model: 0.0 if self._running[model] else now - at
             for model, at in self._busy_at.items()
         }
-        return ModelUse(
-            dict(self._running), quiet_s, needed, self._retired, self._paused
+        return ModelUsage(
+            dict(self._running), idle_s, needed, self._retired, self._paused
         )
 
     def follow(self, plan: ModelPlan) -> None:
--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -36,8 +36,8 @@
 from amaranthtally.policy.loads import EndpointLoad, LoadTable, PoolLoad
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.policy.routing import Router
+from amaranthtally.policy.scoring import Choice, RouteRequest
 from amaranthtally.policy.stage_times import StageStats, StageTimes
-from amaranthtally.policy.weighing import Choice, RouteRequest
 from amaranthtally.simulator.request_mechanisms import (
     UNBOUNDED_BUDGET,
     WithoutEjections,
@@ -146,11 +146,11 @@
         """Return the endpoints that take work."""
         return [
             endpoint
-            for group in self._all_groups.of(wanted.stage).values()
+            for group in self._all_groups.candidates(wanted.stage).values()
             for endpoint in group
-            if endpoint.id not in wanted.avoid
+            if endpoint.id not in wanted.excluded
             and not self._all_ejections.is_ejected(endpoint.id)
-            and not self._all_loads.open(endpoint).leaving
+            and not self._all_loads.get_or_create(endpoint).leaving
         ]
 
 
@@ -159,7 +159,9 @@
 
     def pick(self, usable: Sequence[Endpoint]) -> Endpoint:
         """Return the one with the fewest, drawn among equals."""
-        counts = [self._all_loads.open(endpoint).outstanding for endpoint in usable]
+        counts = [
+            self._all_loads.get_or_create(endpoint).outstanding for endpoint in usable
+        ]
         least = min(counts)
         equal = [e for e, n in zip(usable, counts, strict=True) if n == least]
         return self._draws.choice(equal)
@@ -178,9 +180,9 @@
         """Return the calls that the last report told of."""
         return self._reported
 
-    def take_report(self, now: float, report: LoadReport) -> None:
+    def apply_report(self, now: float, report: LoadReport) -> None:
         """Take a report as if it were of now."""
-        super().take_report(now, report)
+        super().apply_report(now, report)
         self._reported = float(report.running + report.queued)
 
 
--- a/packages/policy/src/amaranthtally/policy/__init__.py
+++ b/packages/policy/src/amaranthtally/policy/__init__.py
@@ -52,11 +52,11 @@
     Stage,
 )
 from amaranthtally.policy.model_orders import (
+    DesiredModels,
     EngineModels,
     ModelPlan,
-    ModelUse,
-    WantedModels,
-    plan_orders,
+    ModelUsage,
+    plan_model_orders,
 )
 from amaranthtally.policy.parts import Parts
 from amaranthtally.policy.peer_directory import PeerDirectory, PeerRecord
@@ -103,6 +103,7 @@
     "CallerLimits",
     "Cancel",
     "Counters",
+    "DesiredModels",
     "Endpoint",
     "EndpointDirectory",
     "EngineLimits",
@@ -115,7 +116,7 @@
     "InvariantError",
     "LoadReport",
     "ModelPlan",
-    "ModelUse",
+    "ModelUsage",
     "Outcome",
     "Parts",
     "Peer",
@@ -147,10 +148,9 @@
     "StageResult",
     "StoredResult",
     "TellPeer",
-    "WantedModels",
     "WeightedPool",
     "gateway_settings",
-    "plan_orders",
+    "plan_model_orders",
     "request_rank",
     "route_arrival",
     "route_pipeline",
--- a/packages/policy/src/amaranthtally/policy/affinity.py
+++ b/packages/policy/src/amaranthtally/policy/affinity.py
@@ -4,8 +4,8 @@
 from amaranthtally.policy.loads import EndpointLoad
 from amaranthtally.policy.rendezvous import rendezvous_weight
 from amaranthtally.policy.routing import Router
+from amaranthtally.policy.scoring import Choice, RouteRequest
 from amaranthtally.policy.stage_times import StageStats
-from amaranthtally.policy.weighing import Choice, RouteRequest
 
 __all__ = ["AffinityRouter"]
 
@@ -39,7 +39,7 @@
     sheet a long prompt takes 0.28 s to read and its own part a third of that.
     """
 
-    def likely_place(self, now: float, arrival: Arrival) -> str:
+    def predicted_data_centre(self, now: float, arrival: Arrival) -> str:
         """Return where the engine stands that a request's prompt belongs to."""
         if not arrival.prefix:
             return ""
@@ -67,7 +67,7 @@
     def _choose_engine(
         self, now: float, wanted: RouteRequest, stats: StageStats
     ) -> Choice | None:
-        regions = self._groups.of(wanted.stage)
+        regions = self._groups.candidates(wanted.stage)
         group = [endpoint for members in regions.values() for endpoint in members]
         usable = self._usable(now, group, wanted)
         matches = self._prefixes.matches(now, wanted.prefix, wanted.prefix_sizes)
@@ -98,16 +98,16 @@
         before = self.round_trip_s(load.endpoint.region)
         if occupancy + 1 > load.limit:
             before += load.wait_s(occupancy, stats.mean_s)
-        tokens = load.reading + sum(wanted.prefix_sizes) * (1.0 - share)
+        tokens = load.pending_prefill_tokens + sum(wanted.prefix_sizes) * (1.0 - share)
         read_s = (tokens * READ_S_PER_TOKEN + CROWD_S * occupancy) * load.slowness(now)
         away_s = CROSSING_S_PER_BYTE * sum(
             result.size_bytes
             for result in wanted.inputs
             if result.data_centre != load.endpoint.data_centre
         )
-        failing = load.failing(now)
+        failing = load.failure_rate(now)
         score = before + read_s + away_s + place_s + FAILURE_S * failing
-        beside = load.beside(occupancy)
+        beside = load.concurrent(occupancy)
         run_s = stats.mean_beside_s(beside) * load.slowness(now)
         return Choice(load.endpoint, before, run_s, beside, share, failing, 0.0, score)
 
--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -9,11 +9,11 @@
 from amaranthtally.policy.model import AttemptId, Endpoint, PolicySettings, Stage
 from amaranthtally.policy.requests import LiveAttempt, Request
 from amaranthtally.policy.routing import Router
+from amaranthtally.policy.scoring import Choice, RouteRequest
 from amaranthtally.policy.stage_times import StageStats, StageTimes
 from amaranthtally.policy.stream_watch import STUCK_FACTOR, StreamWatch
 from amaranthtally.policy.streams import Stream
 from amaranthtally.policy.timers import Timers
-from amaranthtally.policy.weighing import Choice, RouteRequest
 
 __all__ = ["Dispatcher"]
 
@@ -126,7 +126,7 @@
     def _first_look_s(self, stage: Stage, choice: Choice) -> float:
         """Return after how much of its run an attempt is first looked at."""
         stats = self._times.of(stage)
-        chunk_s = stats.pace_beside_s(choice.beside) if stage.streams else 0.0
+        chunk_s = stats.pace_beside_s(choice.concurrent) if stage.streams else 0.0
         return min(stats.late_s, FIRST_CHUNKS * chunk_s) if chunk_s else stats.late_s
 
     def _next_look(self, now: float, attempt: LiveAttempt, stats: StageStats) -> float:
@@ -147,7 +147,9 @@
         choice = self._router.choose(now, wanted, stats)
         if choice is None:
             return []
-        gain = risk - self._streams.resumed_risk(now, request, choice, wanted.end)
+        gain = risk - self._streams.resumed_risk(
+            now, request, choice, wanted.target_end
+        )
         if not _is_worth_it(gain, choice, wanted.weight) or not hedges.take():
             return []
         self._ledger.counters.hedges += 1
@@ -201,19 +203,19 @@
         heard again: its caller would pay for the probe with an unknown outcome.
         """
         stage = request.current
-        name = self._ejections.due_for_probe(now, stage.pool)
+        name = self._ejections.next_probe(now, stage.pool)
         if name is None:
             return None
         endpoint = self._groups.find(name)
         if endpoint is None or not _runs(endpoint, stage):
             return None
-        load = self._loads.open(endpoint)
+        load = self._loads.get_or_create(endpoint)
         left = request.arrival.deadline - now
-        if not load.answers(stage.model):
+        if not load.may_serve(stage.model):
             return None
         if load.leaving or left < PROBE_SLACK * self._times.needed_s(request.remaining):
             return None
-        if not stage.repeatable and now - load.heard_at > HEARD_LATELY_S:
+        if not stage.repeatable and now - load.reported_at > HEARD_LATELY_S:
             return None
         return endpoint
 
@@ -235,13 +237,13 @@
     ) -> float:
         """Return the probability that an attempt ends late, given how long it ran."""
         if request.current.streams and stats.pace_beside_s(attempt.beside) > 0:
-            return self._streams.risk(now, attempt, wanted.end, stats)
+            return self._streams.risk(now, attempt, wanted.target_end, stats)
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
         so_long = stats.tail(ran)
         # Longer than nearly any run on record: the endpoint is taken to be stuck.
         if stats.known and ran > STUCK_FACTOR * stats.slow_s:
             return 1.0
-        left = max(0.0, wanted.end - now)
+        left = max(0.0, wanted.target_end - now)
         healthy = stats.tail(ran + left) / so_long if so_long else 0.0
         # Beyond the slow quantile it is as likely an endpoint that has become slow
         # as a long run, and soon another attempt would come too late.
@@ -259,19 +261,19 @@
         hedge: bool = False,
         probe: bool = False,
     ) -> list[Action]:
-        load = self._loads.open(choice.endpoint)
+        load = self._loads.get_or_create(choice.endpoint)
         attempt = LiveAttempt(
             endpoint=choice.endpoint.id,
             sent_at=now,
-            wait_s=choice.before_s,
+            wait_s=choice.delay_s,
             run_s=choice.run_s,
-            beside=choice.beside,
-            cached=choice.cached,
+            beside=choice.concurrent,
+            cached=choice.cached_share,
             hedge=hedge,
             probe=probe,
             stream=Stream(request.chunks),
         )
-        attempt.reading = round(sum(wanted.prefix_sizes) * (1.0 - choice.cached))
+        attempt.reading = round(sum(wanted.prefix_sizes) * (1.0 - choice.cached_share))
         attempt_id = self._ledger.sent(request, load, attempt)
         if probe:
             self._ejections.probe_sent(choice.endpoint.id)
@@ -279,7 +281,7 @@
         if choice.endpoint.region != self._settings.region:
             self._ledger.counters.away += 1
         if request.current.repeatable:
-            look = choice.before_s + self._first_look_s(request.current, choice)
+            look = choice.delay_s + self._first_look_s(request.current, choice)
             self._timers.set(now + look, request.id, attempt_id)
         return [
             Send(
@@ -309,7 +311,7 @@
     Never less than its share of what is left: when the later stages'
     medians no longer fit, they may still be faster than that.
     """
-    return min(request.arrival.deadline, max(wanted.latest_end, wanted.end))
+    return min(request.arrival.deadline, max(wanted.latest_end, wanted.target_end))
 
 
 def _runs(endpoint: Endpoint, stage: Stage) -> bool:
--- a/packages/policy/src/amaranthtally/policy/ejection.py
+++ b/packages/policy/src/amaranthtally/policy/ejection.py
@@ -42,7 +42,7 @@
         """Return the ejected endpoints of a pool, oldest first."""
         return list(self._ejected.get(pool, ()))
 
-    def due_for_probe(self, now: float, pool: str) -> str | None:
+    def next_probe(self, now: float, pool: str) -> str | None:
         """Return an endpoint that may be tried with one request, or ``None``."""
         for endpoint in self._ejected.get(pool, ()):
             health = self._health[endpoint]
@@ -56,7 +56,7 @@
         if health is not None and health.ejected:
             health.probing = True
 
-    def probe_dropped(self, endpoint: str) -> None:
+    def probe_inconclusive(self, endpoint: str) -> None:
         """Note that a probe ended without a verdict."""
         health = self._health.get(endpoint)
         if health is not None:
--- a/packages/policy/src/amaranthtally/policy/endpoint_directory.py
+++ b/packages/policy/src/amaranthtally/policy/endpoint_directory.py
@@ -38,11 +38,11 @@
         """Endpoints that are kept although their record is missing."""
         return len(self._missing)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """Note that the register does not answer."""
         self._lost = True
 
-    def regained(self, now: float) -> None:
+    def connection_restored(self, now: float) -> None:
         """Note that the register answers."""
         if self._lost:
             self._lost = False
@@ -52,7 +52,7 @@
         """Take the whole register, as it was read."""
         found = {endpoint.id: endpoint for endpoint in records}
         for name in [name for name in self._endpoints if name not in found]:
-            self.removed(now, name)
+            self.record_removed(now, name)
         for endpoint in found.values():
             self.put(endpoint)
 
@@ -61,7 +61,7 @@
         self._missing.pop(endpoint.id, None)
         self._endpoints = {**self._endpoints, endpoint.id: endpoint}
 
-    def removed(self, now: float, name: str) -> None:
+    def record_removed(self, now: float, name: str) -> None:
         """Take word that a record is no longer there."""
         if name not in self._endpoints:
             return
--- a/packages/policy/src/amaranthtally/policy/groups.py
+++ b/packages/policy/src/amaranthtally/policy/groups.py
@@ -5,20 +5,20 @@
 
 from amaranthtally.policy.model import Endpoint, Stage
 
-__all__ = ["EndpointGroups", "RegionGroups"]
+__all__ = ["EndpointGroups", "EndpointsByRegion"]
 
-SUBSET = 64
-AWAY_SUBSET = 16
+LOCAL_SUBSET_SIZE = 64
+REMOTE_SUBSET_SIZE = 16
 
-RegionGroups = dict[str, list[Endpoint]]
+EndpointsByRegion = dict[str, list[Endpoint]]
 
 
 class EndpointGroups:
     """
     Candidates of each pool and model, by region, built at first use.
 
-    An entry uses at most ``SUBSET`` endpoints of a pool and model in its own
-    region and ``AWAY_SUBSET`` in any other, drawn at random: 750 entries before
+    An entry uses at most ``LOCAL_SUBSET_SIZE`` endpoints of a pool and model in its own
+    region and ``REMOTE_SUBSET_SIZE`` in any other, drawn at random: 750 entries before
     11,000 endpoints would otherwise hold eight million connections. A subset
     keeps its members when settings change.
     """
@@ -28,7 +28,7 @@
         self._region = ""
         self._endpoints: Mapping[str, Endpoint] = {}
         self._by_pool: dict[str, list[Endpoint]] = {}
-        self._groups: dict[tuple[str, str], RegionGroups] = {}
+        self._groups: dict[tuple[str, str], EndpointsByRegion] = {}
 
     def replace(self, region: str, endpoints: Mapping[str, Endpoint]) -> bool:
         """Use another home region and endpoints; false when nothing differs."""
@@ -47,7 +47,7 @@
             self._groups[key] = self._build(key, members)
         return True
 
-    def of(self, stage: Stage) -> RegionGroups:
+    def candidates(self, stage: Stage) -> EndpointsByRegion:
         """Return a stage's candidates by region."""
         key = (stage.pool, stage.model)
         found = self._groups.get(key)
@@ -59,9 +59,9 @@
         """Return a registered endpoint, or ``None``."""
         return self._endpoints.get(endpoint)
 
-    def _build(self, key: tuple[str, str], members: set[str]) -> RegionGroups:
+    def _build(self, key: tuple[str, str], members: set[str]) -> EndpointsByRegion:
         pool, model = key
-        regions: RegionGroups = {}
+        regions: EndpointsByRegion = {}
         for endpoint in self._meant_for(pool, model):
             regions.setdefault(endpoint.region, []).append(endpoint)
         return {
@@ -83,7 +83,7 @@
     def _subset(
         self, region: str, group: list[Endpoint], members: set[str]
     ) -> list[Endpoint]:
-        size = SUBSET if region == self._region else AWAY_SUBSET
+        size = LOCAL_SUBSET_SIZE if region == self._region else REMOTE_SUBSET_SIZE
         if len(group) <= size:
             return group
         kept = [e for e in group if e.id in members][:size]
--- a/packages/policy/src/amaranthtally/policy/ledger.py
+++ b/packages/policy/src/amaranthtally/policy/ledger.py
@@ -116,15 +116,15 @@
         request.sent += 1
         attempt_id = AttemptId(request.id, request.stage, request.number)
         request.live[attempt_id] = attempt
-        self._loads.sent(load)
-        load.reading += attempt.reading
+        self._loads.add_attempt(load)
+        load.pending_prefill_tokens += attempt.reading
         return attempt_id
 
     def ended(self, request: Request, attempt_id: AttemptId) -> LiveAttempt:
         """Note that an attempt has ended, or is no longer wanted."""
         attempt = request.live.pop(attempt_id)
         self.has_read(attempt)
-        self._loads.ended(attempt.endpoint, request.current.pool)
+        self._loads.remove_attempt(attempt.endpoint, request.current.pool)
         return attempt
 
     def has_read(self, attempt: LiveAttempt) -> None:
@@ -132,7 +132,9 @@
         load = self._loads.find(attempt.endpoint)
         if load is not None:
             # One that was forgotten and registered anew starts from 0 again.
-            load.reading = max(0, load.reading - attempt.reading)
+            load.pending_prefill_tokens = max(
+                0, load.pending_prefill_tokens - attempt.reading
+            )
         attempt.reading = 0
 
     def asked(
@@ -145,7 +147,7 @@
         attempt.asks += 1
         request.live[attempt_id] = attempt
         if load is not None:
-            self._loads.sent(load)
+            self._loads.add_attempt(load)
 
     def cancel_all(self, request: Request) -> list[Action]:
         """Cancel every live attempt of a request."""
--- a/packages/policy/src/amaranthtally/policy/load_questions.py
+++ b/packages/policy/src/amaranthtally/policy/load_poller.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.loads import LoadTable
 from amaranthtally.policy.routing import Router
 
-__all__ = ["LoadQuestions"]
+__all__ = ["LoadPoller"]
 
 # Questions of one entry a second, and at once: an entry with 100 endpoints in use asks
 # each of them within five seconds.
@@ -13,7 +13,7 @@
 ASKS_BURST = 10.0
 
 
-class LoadQuestions:
+class LoadPoller:
     """
     Asks candidates whose report is old for a new one, within a rate.
 
@@ -26,10 +26,10 @@
         self._loads = loads
         self._rate = RateLimit(0.0, ASKS_PER_S, ASKS_BURST)
 
-    def take(self, now: float) -> list[Action]:
+    def due_load_requests(self, now: float) -> list[Action]:
         """Return the questions that are due."""
         asked: list[Action] = []
-        for endpoint in self._router.take_stale():
+        for endpoint in self._router.pop_stale_endpoints():
             # Settings may have changed since the choice: nobody answers there now.
             if self._loads.find(endpoint) is None:
                 continue
--- a/packages/policy/src/amaranthtally/policy/loads.py
+++ b/packages/policy/src/amaranthtally/policy/loads.py
@@ -6,7 +6,7 @@
 from amaranthtally.policy.events import LoadReport
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.model import Endpoint
-from amaranthtally.policy.pool_loads import PoolLoad, faded_by_silence
+from amaranthtally.policy.pool_loads import PoolLoad, other_calls_decay
 
 __all__ = ["EndpointLoad", "LoadTable", "PoolLoad"]
 
@@ -27,8 +27,8 @@
     """
     One endpoint as this entry sees it; about 300 bytes.
 
-    ``reading`` counts prompt tokens that our own attempts have it read before their
-    first output.
+    ``pending_prefill_tokens`` counts the prompt tokens of this entry's attempts there
+    that have not yet produced output.
 
     A report that lags also counts attempts of our own that ended since, and
     misses those sent since. So a report is only used for what other entries do
@@ -40,23 +40,23 @@
     __slots__ = (
         "_failing",
         "_failing_at",
-        "_others",
-        "_others_at",
+        "_other_calls",
+        "_other_calls_at",
         "_own_then",
         "_slow",
         "_slow_at",
         "_total_then",
-        "asked_at",
-        "counted",
         "endpoint",
-        "heard_at",
+        "in_pool_sums",
         "incarnation",
         "leaving",
         "limit",
         "models",
         "outstanding",
+        "pending_prefill_tokens",
         "pool",
-        "reading",
+        "report_requested_at",
+        "reported_at",
     )
 
     def __init__(self, endpoint: Endpoint, pool: PoolLoad) -> None:
@@ -64,15 +64,15 @@
         self.endpoint = endpoint
         self.outstanding = 0
         self.limit = endpoint.slots or UNHEARD_LIMIT
-        self.reading = 0
-        self.heard_at = -1.0
-        self.asked_at = -1.0
+        self.pending_prefill_tokens = 0
+        self.reported_at = -1.0
+        self.report_requested_at = -1.0
         self.incarnation = 0
         self.leaving = False
         self.models: frozenset[str] | None = None
-        self.counted = False
-        self._others = 0.0
-        self._others_at = 0.0
+        self.in_pool_sums = False
+        self._other_calls = 0.0
+        self._other_calls_at = 0.0
         self._own_then = 0
         self._total_then = 0
         self._slow = 1.0
@@ -80,24 +80,24 @@
         self._failing = 0.0
         self._failing_at = 0.0
 
-    def answers(self, model: str) -> bool:
+    def may_serve(self, model: str) -> bool:
         """Whether it has a model by its own word; true where it has said nothing."""
         if self.models is None:
             return True
         return model in self.models if model else bool(self.models)
 
-    def takes(self, model: str) -> bool:
+    def accepts(self, model: str) -> bool:
         """Whether it takes new work and has the model."""
-        return not self.leaving and self.answers(model)
+        return not self.leaving and self.may_serve(model)
 
-    def others(self, now: float) -> float:
+    def other_calls(self, now: float) -> float:
         """
         Return the smoothed calls of other entries; may be below 0.
 
         They fade when nothing is heard: an endpoint that was once reported to be
         crowded would get no attempt, send no report, and stay avoided for ever.
         """
-        return self._others * faded_by_silence(now - self._others_at)
+        return self._other_calls * other_calls_decay(now - self._other_calls_at)
 
     def occupancy(self, now: float) -> float:
         """
@@ -105,13 +105,13 @@
 
         The less reports can be trusted, the more is it taken to be average.
         """
-        others = self.others(now) if self._others > 0.0 else 0.0
-        trust = self.pool.trust
+        others = self.other_calls(now) if self._other_calls > 0.0 else 0.0
+        trust = self.pool.report_weight
         if trust < 1.0:
-            others = trust * others + (1.0 - trust) * self.pool.mean_others(now)
+            others = trust * others + (1.0 - trust) * self.pool.mean_other_calls(now)
         return self.outstanding + others
 
-    def beside(self, occupancy: float) -> float:
+    def concurrent(self, occupancy: float) -> float:
         """Return the predicted calls that run beside a new one."""
         most = self.limit - 1
         return occupancy if occupancy < most else most
@@ -136,7 +136,7 @@
             return 1.0
         return 1.0 + off - copysign(SLOWNESS_NOISE, off)
 
-    def failing(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         """
         Return the smoothed share of attempts that fail; fades to 0 unheard.
 
@@ -148,11 +148,11 @@
         failing = self._failing * _faded(now - self._failing_at)
         return failing if failing > FAILING_NOISE else 0.0
 
-    def note_run(self, now: float, ratio: float) -> None:
+    def note_run_time(self, now: float, ratio: float) -> None:
         """Learn from a run that took ``ratio`` times its pool's mean."""
         self._note_slowness(now, ratio, SLOWNESS_WEIGHT)
 
-    def note_pace(self, now: float, ratio: float) -> None:
+    def note_chunk_time(self, now: float, ratio: float) -> None:
         """
         Learn from a chunk that took ``ratio`` times its pool's median.
 
@@ -166,33 +166,35 @@
         self._slow = current + weight * (ratio - current)
         self._slow_at = now
 
-    def note_attempt(self, now: float, failed: bool) -> None:
+    def note_outcome(self, now: float, failed: bool) -> None:
         """Learn from an attempt's end."""
         current = self._failing * _faded(now - self._failing_at)
         self._failing = current + FAILURE_WEIGHT * (failed - current)
         self._failing_at = now
 
-    def take_report(self, now: float, report: LoadReport) -> None:
+    def apply_report(self, now: float, report: LoadReport) -> None:
         """Learn from a report, however late."""
         total = report.running + report.queued
         # A reply's report no longer counts its own call, one asked for does. Taken
         # alike, they would seem not to follow our attempts: reports of now would be
         # doubted, and prefixes be left out of routing.
         own = max(0, self.outstanding - report.ended)
-        if self.heard_at >= 0:
+        if self.reported_at >= 0:
             self.pool.note_report(total - self._total_then, own - self._own_then)
         self._total_then = total
         self._own_then = own
         others = total - own
-        current = self.others(now)
-        if self.heard_at < 0:
+        current = self.other_calls(now)
+        if self.reported_at < 0:
             weight = 1.0
         else:
-            smoothing_s = SMOOTHING_S + (1.0 - self.pool.trust) * DOUBT_SMOOTHING_S
-            weight = 1.0 - exp(-max(0.0, now - self.heard_at) / smoothing_s)
-        self._others = current + weight * (others - current)
-        self._others_at = now
-        self.heard_at = now
+            smoothing_s = (
+                SMOOTHING_S + (1.0 - self.pool.report_weight) * DOUBT_SMOOTHING_S
+            )
+            weight = 1.0 - exp(-max(0.0, now - self.reported_at) / smoothing_s)
+        self._other_calls = current + weight * (others - current)
+        self._other_calls_at = now
+        self.reported_at = now
         self.limit = max(1, report.limit)
         self.models = report.models
 
@@ -222,7 +224,7 @@
         """Return what is known of an endpoint, or ``None``."""
         return self._loads.get(endpoint)
 
-    def open(self, endpoint: Endpoint) -> EndpointLoad:
+    def get_or_create(self, endpoint: Endpoint) -> EndpointLoad:
         """Return an endpoint's load, made at first use."""
         load = self._loads.get(endpoint.id)
         if load is None:
@@ -230,43 +232,43 @@
             self._loads[endpoint.id] = load
         return load
 
-    def count_in(self, now: float, load: EndpointLoad) -> None:
+    def add_to_pool(self, now: float, load: EndpointLoad) -> None:
         """Add a usable endpoint to its pool's sums."""
-        if load.counted:
+        if load.in_pool_sums:
             return
-        load.counted = True
+        load.in_pool_sums = True
         pool = load.pool
         pool.size += 1
         pool.capacity += load.limit
-        pool.add_others(now, load.others(now))
+        pool.add_other_calls(now, load.other_calls(now))
 
-    def count_out(self, now: float, load: EndpointLoad) -> None:
+    def remove_from_pool(self, now: float, load: EndpointLoad) -> None:
         """Take an endpoint that is leaving, ejected or gone out of the sums."""
-        if not load.counted:
+        if not load.in_pool_sums:
             return
-        load.counted = False
+        load.in_pool_sums = False
         pool = load.pool
         pool.size -= 1
         pool.capacity -= load.limit
-        pool.add_others(now, -load.others(now))
+        pool.add_other_calls(now, -load.other_calls(now))
         ensure(pool.size >= 0, "a pool's size is not negative")
 
-    def take_report(self, now: float, load: EndpointLoad, report: LoadReport) -> None:
+    def apply_report(self, now: float, load: EndpointLoad, report: LoadReport) -> None:
         """Learn from a report, and keep the sums."""
-        if not load.counted:
-            load.take_report(now, report)
+        if not load.in_pool_sums:
+            load.apply_report(now, report)
             return
-        old_limit, old_others = load.limit, load.others(now)
-        load.take_report(now, report)
+        old_limit, old_others = load.limit, load.other_calls(now)
+        load.apply_report(now, report)
         load.pool.capacity += load.limit - old_limit
-        load.pool.replace_others(now, old_others, load.others(now))
+        load.pool.replace_other_calls(now, old_others, load.other_calls(now))
 
-    def sent(self, load: EndpointLoad) -> None:
+    def add_attempt(self, load: EndpointLoad) -> None:
         """Count an attempt at an endpoint."""
         load.outstanding += 1
         load.pool.outstanding += 1
 
-    def ended(self, endpoint: str, pool: str) -> None:
+    def remove_attempt(self, endpoint: str, pool: str) -> None:
         """Count an attempt as ended, also at an endpoint that is forgotten."""
         load = self._loads.get(endpoint)
         if load is not None:
@@ -276,11 +278,11 @@
         sums.outstanding -= 1
         ensure(sums.outstanding >= 0, "attempts at a pool are not negative")
 
-    def drop(self, now: float, endpoint: str) -> None:
+    def remove(self, now: float, endpoint: str) -> None:
         """Forget an endpoint that is no longer registered."""
         load = self._loads.pop(endpoint, None)
         if load is not None:
-            self.count_out(now, load)
+            self.remove_from_pool(now, load)
 
     def ids(self) -> list[str]:
         """Return the ids of the endpoints held."""
--- a/packages/policy/src/amaranthtally/policy/membership.py
+++ b/packages/policy/src/amaranthtally/policy/membership.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.actions import Action, Greet
 from amaranthtally.policy.ejection import Ejections
 from amaranthtally.policy.events import LoadReport
-from amaranthtally.policy.groups import EndpointGroups, RegionGroups
+from amaranthtally.policy.groups import EndpointGroups, EndpointsByRegion
 from amaranthtally.policy.loads import EndpointLoad, LoadTable
 from amaranthtally.policy.model import Endpoint, PolicySettings, Stage
 from amaranthtally.policy.prefixes import PrefixIndex
@@ -61,9 +61,9 @@
         if key in self._prepared:
             return
         self._prepared.add(key)
-        self._open_all(now, self._groups.of(stage))
+        self._open_all(now, self._groups.candidates(stage))
 
-    def report(self, now: float, endpoint: str, report: LoadReport) -> None:
+    def apply_report(self, now: float, endpoint: str, report: LoadReport) -> None:
         """
         Take a sidecar's word of its load and of whether it leaves.
 
@@ -75,25 +75,25 @@
             return
         restarted = bool(load.incarnation) and report.incarnation != load.incarnation
         if restarted:
-            self._prefixes.forget(endpoint)
+            self._prefixes.invalidate(endpoint)
             self._return(now, load)
         load.incarnation = report.incarnation
-        self._loads.take_report(now, load, report)
+        self._loads.apply_report(now, load, report)
         if not _says_otherwise(load.endpoint, report.models):
             self._unconfirmed.pop(endpoint, None)
         if report.leaving:
-            self.leaving(now, endpoint)
+            self.mark_leaving(now, endpoint)
 
-    def leaving(self, now: float, endpoint: str) -> None:
+    def mark_leaving(self, now: float, endpoint: str) -> None:
         """Give an endpoint no new work."""
         load = self._open(endpoint)
         if load is None or load.leaving:
             return
         load.leaving = True
         self._without_work[endpoint] = now
-        self._loads.count_out(now, load)
+        self._loads.remove_from_pool(now, load)
 
-    def staying(self, now: float, endpoint: str) -> None:
+    def mark_staying(self, now: float, endpoint: str) -> None:
         """Give work again to an endpoint that was thought to leave."""
         load = self._loads.find(endpoint)
         if load is not None:
@@ -101,24 +101,24 @@
 
     def failed(self, now: float, load: EndpointLoad) -> bool:
         """Note a failed attempt; true when its endpoint is ejected for it."""
-        load.note_attempt(now, failed=True)
+        load.note_outcome(now, failed=True)
         pool = load.endpoint.pool
         known = self._loads.pool(pool).size + len(self._ejections.ejected(pool))
         if not self._ejections.failed(now, load.endpoint.id, pool, known):
             return False
-        self._loads.count_out(now, load)
+        self._loads.remove_from_pool(now, load)
         self._without_work[load.endpoint.id] = now
         return True
 
     def succeeded(self, now: float, load: EndpointLoad) -> None:
         """Note an attempt that finished; an ejected endpoint is let back."""
-        load.note_attempt(now, failed=False)
+        load.note_outcome(now, failed=False)
         self._ejections.succeeded(load.endpoint.id)
         if not load.leaving:
             self._without_work.pop(load.endpoint.id, None)
-            self._loads.count_in(now, load)
+            self._loads.add_to_pool(now, load)
 
-    def greetings(self, now: float) -> list[Action]:
+    def due_load_requests(self, now: float) -> list[Action]:
         """
         Ask for word from endpoints without work, or that have other models than wanted.
 
@@ -144,14 +144,14 @@
 
     def _is_unconfirmed(self, endpoint: Endpoint) -> bool:
         load = self._loads.find(endpoint.id)
-        if load is None or load.heard_at < 0:
+        if load is None or load.reported_at < 0:
             return True
         return _says_otherwise(endpoint, load.models)
 
-    def _open_all(self, now: float, regions: RegionGroups) -> None:
+    def _open_all(self, now: float, regions: EndpointsByRegion) -> None:
         for group in regions.values():
             for endpoint in group:
-                self._count_in_usable(now, self._loads.open(endpoint))
+                self._count_in_usable(now, self._loads.get_or_create(endpoint))
 
     def _open(self, endpoint: str) -> EndpointLoad | None:
         load = self._loads.find(endpoint)
@@ -159,23 +159,23 @@
             registered = self._groups.find(endpoint)
             if registered is None:
                 return None
-            load = self._loads.open(registered)
+            load = self._loads.get_or_create(registered)
         return load
 
     def _return(self, now: float, load: EndpointLoad) -> None:
         load.leaving = False
         if not self._ejections.is_ejected(load.endpoint.id):
             self._without_work.pop(load.endpoint.id, None)
-            self._loads.count_in(now, load)
+            self._loads.add_to_pool(now, load)
 
     def _count_in_usable(self, now: float, load: EndpointLoad) -> None:
         if not load.leaving and not self._ejections.is_ejected(load.endpoint.id):
-            self._loads.count_in(now, load)
+            self._loads.add_to_pool(now, load)
 
     def _forget(self, now: float, endpoint: str) -> None:
-        self._loads.drop(now, endpoint)
+        self._loads.remove(now, endpoint)
         self._ejections.forget(endpoint)
-        self._prefixes.forget(endpoint)
+        self._prefixes.invalidate(endpoint)
         self._without_work.pop(endpoint, None)
 
 
--- a/packages/policy/src/amaranthtally/policy/model_orders.py
+++ b/packages/policy/src/amaranthtally/policy/model_orders.py
@@ -7,20 +7,20 @@
     "EngineModels",
     "Load",
     "ModelPlan",
-    "ModelUse",
+    "ModelUsage",
     "Order",
     "SetRole",
     "Unload",
-    "WantedModels",
-    "plan_orders",
+    "DesiredModels",
+    "plan_model_orders",
 ]
 
-MOST_ORDERS = 4
+MAX_ORDERS = 4
 PREFILL = "prefill"
 
 
 @dataclass(frozen=True, slots=True)
-class WantedModels:
+class DesiredModels:
     """
     What an endpoint is to hold, the most wanted model first, and its role.
 
@@ -42,19 +42,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelUse:
+class ModelUsage:
     """
     What is known of the calls of an endpoint's models.
 
-    ``running`` counts accepted calls that have not ended. ``quiet_s`` says for how
-    long a model has been neither wanted nor called, in seconds. ``needed`` models
+    ``running`` counts accepted calls that have not ended. ``idle_s`` says for how
+    long a model has been neither wanted nor called, in seconds. ``required`` models
     are asked for by a pipeline that no other endpoint could answer. ``retired``
     models and, while ``paused``, all calls are refused already.
     """
 
     running: Mapping[str, int] = field(default_factory=dict)
-    quiet_s: Mapping[str, float] = field(default_factory=dict)
-    needed: frozenset[str] = frozenset()
+    idle_s: Mapping[str, float] = field(default_factory=dict)
+    required: frozenset[str] = frozenset()
     retired: frozenset[str] = frozenset()
     paused: bool = False
 
@@ -90,18 +90,19 @@
 
     Calls of ``retired`` models, or all calls while ``paused``, are to be refused
     before their ends are waited for. ``pending`` while calls, or the time without
-    calls before an unload, are waited for; ``stuck`` says what keeps a load back.
+    calls before an unload, are waited for; ``blocked_reason`` says what
+    prevents a load.
     """
 
     retired: frozenset[str] = frozenset()
     paused: bool = False
     orders: tuple[Order, ...] = ()
     pending: bool = False
-    stuck: str = ""
+    blocked_reason: str = ""
 
 
-def plan_orders(
-    wanted: WantedModels, held: EngineModels, use: ModelUse, unload_after_s: float
+def plan_model_orders(
+    wanted: DesiredModels, held: EngineModels, use: ModelUsage, unload_after_s: float
 ) -> ModelPlan:
     """
     Return the next step from what an engine holds to what is wanted.
@@ -117,50 +118,50 @@
 
 
 def _next_step(
-    wanted: WantedModels, held: EngineModels, use: ModelUse, unload_after_s: float
+    wanted: DesiredModels, held: EngineModels, use: ModelUsage, unload_after_s: float
 ) -> ModelPlan:
     missing = [model for model in wanted.models if model not in held.models]
     unwanted = _unwanted(wanted, held, use)
-    spare = [m for m in unwanted if use.quiet_s.get(m, 0.0) >= unload_after_s]
+    spare = [m for m in unwanted if use.idle_s.get(m, 0.0) >= unload_after_s]
     if missing:
         return _make_room(wanted, held, use, spare, missing)
     if held.role and wanted.role != held.role:
         return _change_role(wanted.role, use)
-    plan = _give_up(spare, use, MOST_ORDERS)
+    plan = _give_up(spare, use, MAX_ORDERS)
     return replace(plan, pending=plan.pending or len(spare) < len(unwanted))
 
 
-def _unwanted(wanted: WantedModels, held: EngineModels, use: ModelUse) -> list[str]:
+def _unwanted(wanted: DesiredModels, held: EngineModels, use: ModelUsage) -> list[str]:
     if not wanted.models:
         return []
-    return sorted(held.models - frozenset(wanted.models) - use.needed)
+    return sorted(held.models - frozenset(wanted.models) - use.required)
 
 
 def _make_room(
-    wanted: WantedModels,
+    wanted: DesiredModels,
     held: EngineModels,
-    use: ModelUse,
+    use: ModelUsage,
     spare: list[str],
     missing: list[str],
 ) -> ModelPlan:
     room = wanted.slots - len(held.models) if wanted.slots else len(missing)
     if room > 0:
-        loads = [Load(model) for model in missing[: min(room, MOST_ORDERS)]]
+        loads = [Load(model) for model in missing[: min(room, MAX_ORDERS)]]
         return ModelPlan(orders=tuple(loads))
     if not spare:
         detail = f"no room for {missing[0]} beside {', '.join(sorted(held.models))}"
-        return ModelPlan(pending=True, stuck=detail)
+        return ModelPlan(pending=True, blocked_reason=detail)
     # No more than the missing ones need: what stays loaded serves on.
-    return _give_up(spare[: len(missing) - room], use, MOST_ORDERS)
+    return _give_up(spare[: len(missing) - room], use, MAX_ORDERS)
 
 
-def _change_role(role: str, use: ModelUse) -> ModelPlan:
+def _change_role(role: str, use: ModelUsage) -> ModelPlan:
     if use.paused and not any(use.running.values()):
         return ModelPlan(paused=True, orders=(SetRole(role),))
     return ModelPlan(paused=True, pending=True)
 
 
-def _give_up(spare: list[str], use: ModelUse, most: int) -> ModelPlan:
+def _give_up(spare: list[str], use: ModelUsage, most: int) -> ModelPlan:
     ready = [m for m in spare if m in use.retired and not use.running.get(m, 0)]
     return ModelPlan(
         retired=frozenset(spare),
--- a/packages/policy/src/amaranthtally/policy/learning.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -10,10 +10,10 @@
 from amaranthtally.policy.routing import Router
 from amaranthtally.policy.stage_times import StageTimes
 
-__all__ = ["Learner"]
+__all__ = ["OutcomeRecorder"]
 
 
-class Learner:
+class OutcomeRecorder:
     """Learns from attempts, however they ended."""
 
     def __init__(
@@ -34,7 +34,7 @@
         self._prefixes = prefixes
         self._counters = counters
 
-    def cut_off(self, now: float, request: Request) -> None:
+    def deadline_passed(self, now: float, request: Request) -> None:
         """
         Learn from attempts that the deadline ends.
 
@@ -46,9 +46,9 @@
             ran = now - attempt.sent_at - attempt.wait_s
             if ran > stats.typical_s:
                 stats.add(ran, int(stats.output_bytes), attempt.beside)
-            self._ejections.probe_dropped(attempt.endpoint)
+            self._ejections.probe_inconclusive(attempt.endpoint)
 
-    def failed(
+    def attempt_failed(
         self, now: float, request: Request, ended: LiveAttempt, result: StageResult
     ) -> None:
         """Learn from an attempt that failed, where that says something."""
@@ -60,23 +60,25 @@
             and (
                 result.retry_after_s > 0
                 or result.inputs_gone
-                or (load is not None and not load.takes(request.current.model))
+                or (load is not None and not load.accepts(request.current.model))
             )
         )
         if blameless or load is None:
-            self._ejections.probe_dropped(ended.endpoint)
+            self._ejections.probe_inconclusive(ended.endpoint)
             return
         self._counters.ejections += self._membership.failed(now, load)
 
-    def overtaken(self, now: float, loser: LiveAttempt, winner: LiveAttempt) -> None:
+    def attempt_overtaken(
+        self, now: float, loser: LiveAttempt, winner: LiveAttempt
+    ) -> None:
         """Count a strike against an endpoint that a later attempt overtook."""
         load = self._loads.find(loser.endpoint)
         if load is None or loser.sent_at >= winner.sent_at:
-            self._ejections.probe_dropped(loser.endpoint)
+            self._ejections.probe_inconclusive(loser.endpoint)
             return
         self._counters.ejections += self._membership.failed(now, load)
 
-    def finished(
+    def attempt_finished(
         self, now: float, request: Request, ended: LiveAttempt, result: StageResult
     ) -> None:
         """Learn from an attempt that finished."""
@@ -85,7 +87,7 @@
             return
         stats = self._times.of(request.current)
         if stats.known and not ended.stream.pace_s:
-            load.note_run(now, result.run_s / stats.mean_beside_s(ended.beside))
+            load.note_run_time(now, result.run_s / stats.mean_beside_s(ended.beside))
         stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
         on_the_way = now - ended.sent_at - result.run_s - result.queued_s
         if not ended.asks:
@@ -94,4 +96,4 @@
         # An index entry names few holders: the endpoints of the other stages, which
         # cache nothing, would push the engine out before the prefix comes again.
         if request.arrival.prefix and request.current.caches_prefixes:
-            self._prefixes.ran(now, ended.endpoint, request.arrival.prefix)
+            self._prefixes.add_run(now, ended.endpoint, request.arrival.prefix)
--- a/packages/policy/src/amaranthtally/policy/peer_directory.py
+++ b/packages/policy/src/amaranthtally/policy/peer_directory.py
@@ -34,20 +34,20 @@
 
     def __init__(self) -> None:
         self._registered: dict[str, PeerRecord] = {}
-        self._doubted: dict[str, float] = {}
+        self._unconfirmed: dict[str, float] = {}
         self._known: dict[str, PeerRecord] = {}
         self._gone_at: dict[str, float] = {}
 
     @property
     def alive(self) -> Mapping[str, PeerRecord]:
         """Entries that take part: registered, or doubted and not yet gone."""
-        doubted = {name: self._known[name] for name in self._doubted}
+        doubted = {name: self._known[name] for name in self._unconfirmed}
         return {**self._registered, **doubted}
 
     @property
-    def doubted(self) -> tuple[str, ...]:
+    def unconfirmed(self) -> tuple[str, ...]:
         """Entries that are to be asked whether they stay."""
-        return tuple(self._doubted)
+        return tuple(self._unconfirmed)
 
     @property
     def addresses(self) -> Mapping[str, str]:
@@ -66,24 +66,26 @@
         """Take a new or changed record."""
         self._registered[name] = record
         self._known[name] = record
-        self._doubted.pop(name, None)
+        self._unconfirmed.pop(name, None)
         self._gone_at.pop(name, None)
 
     def replace(self, now: float, records: Mapping[str, PeerRecord]) -> None:
         """Take all records, as they were read."""
-        self.removed(now, [name for name in self._registered if name not in records])
+        self.records_removed(
+            now, [name for name in self._registered if name not in records]
+        )
         for name, record in records.items():
             self.put(name, record)
 
-    def removed(self, now: float, names: Iterable[str]) -> None:
+    def records_removed(self, now: float, names: Iterable[str]) -> None:
         """Take word that records are no longer there."""
         for name in names:
             if self._registered.pop(name, None) is not None:
-                self._doubted[name] = now + WORD_S
+                self._unconfirmed[name] = now + WORD_S
 
     # Words
 
-    def greeted(self, now: float, name: str, record: PeerRecord) -> bool:
+    def note_greeting(self, now: float, name: str, record: PeerRecord) -> bool:
         """
         Hear from an entry of itself; whether it was not known to live.
 
@@ -94,29 +96,29 @@
         """
         if name in self._registered or not record.address:
             return False
-        is_new = name not in self._doubted
-        self._doubted[name] = now + WORD_S
+        is_new = name not in self._unconfirmed
+        self._unconfirmed[name] = now + WORD_S
         self._known[name] = record
         self._gone_at.pop(name, None)
         return is_new
 
-    def stays(self, now: float, name: str) -> None:
+    def note_alive(self, now: float, name: str) -> None:
         """Hear from a doubted entry that it lives and stays."""
-        if name in self._doubted:
-            self._doubted[name] = now + WORD_S
+        if name in self._unconfirmed:
+            self._unconfirmed[name] = now + WORD_S
 
-    def leaves(self, now: float, name: str) -> bool:
+    def note_left(self, now: float, name: str) -> bool:
         """Hear that an entry leaves or does not answer; whether that is news."""
-        if self._doubted.pop(name, None) is None:
+        if self._unconfirmed.pop(name, None) is None:
             return False
         self._gone_at[name] = now
         return True
 
     def expire(self, now: float) -> tuple[str, ...]:
         """Drop those not heard of for long; return those that take part no more."""
-        silent = [name for name, until in self._doubted.items() if until <= now]
+        silent = [name for name, until in self._unconfirmed.items() if until <= now]
         for name in silent:
-            self.leaves(now, name)
+            self.note_left(now, name)
         for name in [n for n, at in self._gone_at.items() if now - at >= REMEMBERED_S]:
             del self._gone_at[name]
             del self._known[name]
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -23,11 +23,11 @@
 from amaranthtally.policy.first_events import FirstEvents
 from amaranthtally.policy.gathering import Gathering
 from amaranthtally.policy.groups import EndpointGroups
-from amaranthtally.policy.learning import Learner
 from amaranthtally.policy.ledger import Counters, Ledger
-from amaranthtally.policy.load_questions import LoadQuestions
+from amaranthtally.policy.load_poller import LoadPoller
 from amaranthtally.policy.membership import Membership
 from amaranthtally.policy.model import AttemptId, PolicySettings
+from amaranthtally.policy.outcome_recorder import OutcomeRecorder
 from amaranthtally.policy.parts import Parts
 from amaranthtally.policy.piece_graph import StoredResult
 from amaranthtally.policy.piece_messages import PieceAsk, PiecesEnded, PieceTold
@@ -79,7 +79,7 @@
         self._router = parts.router(
             random, groups, self._loads, self._ejections, self._prefixes
         )
-        self._load_questions = LoadQuestions(self._router, self._loads)
+        self._load_poller = LoadPoller(self._router, self._loads)
         self._admission = parts.admission(
             random, self._times, self._loads, self._accounts
         )
@@ -87,7 +87,7 @@
         self._gatherer = parts.gatherer()
         self._first_events = FirstEvents()
         self._inputs = parts.inputs(random, self._gatherer, self._times)
-        self._learner = Learner(
+        self._outcome_recorder = OutcomeRecorder(
             self._times,
             self._loads,
             self._ejections,
@@ -231,7 +231,7 @@
                 self._first_events.note(name, now - live.sent_at)
                 # Known as soon as it is read: the next request of a session comes
                 # before this one's stream has ended, and would be read elsewhere.
-                self._prefixes.ran(now, live.endpoint, request.arrival.prefix)
+                self._prefixes.add_run(now, live.endpoint, request.arrival.prefix)
             self._ledger.has_read(live)
             self._streams.note(now, request.current, live.endpoint, live.stream, chunks)
             freed = self._inputs.free(now, request)
@@ -242,22 +242,22 @@
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
         """Take an endpoint's load, from a reply or a greeting."""
-        self._membership.report(now, endpoint, report)
+        self._membership.apply_report(now, endpoint, report)
         return []
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
         """Take an engine's word of its prefix cache, late or after a gap."""
-        self._prefixes.event(now, endpoint, event)
+        self._prefixes.apply_event(now, endpoint, event)
         return []
 
     def endpoint_leaving(self, now: float, endpoint: str) -> list[Action]:
         """Send nothing new to an endpoint."""
-        self._membership.leaving(now, endpoint)
+        self._membership.mark_leaving(now, endpoint)
         return []
 
     def endpoint_staying(self, now: float, endpoint: str) -> list[Action]:
         """Use an endpoint again that was thought to leave."""
-        self._membership.staying(now, endpoint)
+        self._membership.mark_staying(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
@@ -275,8 +275,8 @@
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
         self._accounts.refresh(now)
-        actions = self._membership.greetings(now)
-        actions.extend(self._load_questions.take(now))
+        actions = self._membership.due_load_requests(now)
+        actions.extend(self._load_poller.due_load_requests(now))
         actions.extend(self._inputs.free_read(now, self._ledger))
         actions.extend(self._follow(now, self._gatherer.tick(now)))
         while (timer := self._timers.due(now)) is not None:
@@ -297,7 +297,7 @@
             arrival.objective or arrival.deadline,
             self._inputs.made_by(arrival),
             arrival.priority,
-            self._router.likely_place(now, arrival),
+            self._router.predicted_data_centre(now, arrival),
             self._first_events.usual_s(arrival.pipeline.name),
         )
         return self._follow(now, news)
@@ -348,12 +348,12 @@
     def _finished(
         self, now: float, request: Request, ended: LiveAttempt, result: StageResult
     ) -> list[Action]:
-        self._learner.finished(now, request, ended, result)
+        self._outcome_recorder.attempt_finished(now, request, ended, result)
         request.previous_bytes = result.output_bytes
         losers = list(request.live.values())
         actions = self._ledger.cancel_all(request)
         for loser in losers:
-            self._learner.overtaken(now, loser, ended)
+            self._outcome_recorder.attempt_overtaken(now, loser, ended)
         if not self._ledger.stage_done(request):
             freed = self._gatherer.close(now, request.id)
             return [*actions, *freed, self._ledger.answered(request)]
@@ -388,7 +388,7 @@
         not_run = result.fate is Fate.NOT_RUN
         request.unstarted += not_run
         request.stage_unstarted += not_run
-        self._learner.failed(now, request, ended, result)
+        self._outcome_recorder.attempt_failed(now, request, ended, result)
         if request.live:
             return []
         if not result.inputs_gone:
@@ -416,7 +416,7 @@
         otherwise use up the tries of a request that one endpoint could take.
         """
         load = self._loads.find(ended.endpoint)
-        if not_run and load is not None and not load.takes(request.current.model):
+        if not_run and load is not None and not load.accepts(request.current.model):
             return 0.0
         return self._settings.not_run_cost if not_run else FAILURE_COST
 
@@ -432,7 +432,7 @@
         actions: list[Action] = []
         for attempt in passed:
             loser = self._ledger.ended(request, attempt)
-            self._learner.overtaken(now, loser, ahead)
+            self._outcome_recorder.attempt_overtaken(now, loser, ahead)
             actions.append(Cancel(attempt, loser.endpoint))
         return actions
 
@@ -465,7 +465,7 @@
         return self._dispatcher.hedge(now, request, timer.attempt)
 
     def _too_late(self, now: float, request: Request) -> list[Action]:
-        self._learner.cut_off(now, request)
+        self._outcome_recorder.deadline_passed(now, request)
         return self._refuse(now, request, Reason.DEADLINE)
 
     def _configure(self, now: float, settings: PolicySettings) -> None:
--- a/packages/policy/src/amaranthtally/policy/pool_loads.py
+++ b/packages/policy/src/amaranthtally/policy/pool_loads.py
@@ -1,8 +1,8 @@
 """Sums over a pool's endpoints, and how far their reports are believed."""
 
-from amaranthtally.policy.slopes import FadingSlope
+from amaranthtally.policy.regression import DecayingRegression
 
-__all__ = ["PoolLoad", "faded_by_silence"]
+__all__ = ["PoolLoad", "other_calls_decay"]
 
 STALE_S = 5.0
 MOST_ON_THE_WAY = 4.0
@@ -20,10 +20,10 @@
     """
 
     __slots__ = (
-        "_follows",
-        "_others",
-        "_others_at",
-        "_trust",
+        "_other_calls",
+        "_other_calls_at",
+        "_report_weight",
+        "_response",
         "capacity",
         "outstanding",
         "pending",
@@ -31,19 +31,19 @@
     )
 
     def __init__(self) -> None:
-        self._follows = FadingSlope(FOLLOWING_PRIOR_VARIANCE)
-        self._trust = 1.0
+        self._response = DecayingRegression(FOLLOWING_PRIOR_VARIANCE)
+        self._report_weight = 1.0
         self.capacity = 0
         self.outstanding = 0
         self.pending = 0
         self.size = 0
-        self._others = 0.0
-        self._others_at = 0.0
+        self._other_calls = 0.0
+        self._other_calls_at = 0.0
 
     @property
-    def trust(self) -> float:
+    def report_weight(self) -> float:
         """How far reports are taken to be of now, from 0 to 1."""
-        return self._trust
+        return self._report_weight
 
     def note_report(self, change: float, own_change: float) -> None:
         """
@@ -53,26 +53,26 @@
         do not; entries that believed them would all send to endpoints that were
         idle then, and the next time to the others.
         """
-        self._follows.add(own_change, change)
-        self._trust = min(1.0, self._follows.slope(1.0))
+        self._response.add(own_change, change)
+        self._report_weight = min(1.0, self._response.slope(1.0))
 
-    def mean_others(self, now: float) -> float:
+    def mean_other_calls(self, now: float) -> float:
         """Return the calls of other entries at an average endpoint."""
-        return max(0.0, self.others(now)) / max(1, self.size)
+        return max(0.0, self.other_calls(now)) / max(1, self.size)
 
-    def add_others(self, now: float, calls: float) -> None:
+    def add_other_calls(self, now: float, calls: float) -> None:
         """Add calls of other entries, or take them off when below 0."""
-        self._others = self.others(now) + calls
-        self._others_at = max(self._others_at, now)
+        self._other_calls = self.other_calls(now) + calls
+        self._other_calls_at = max(self._other_calls_at, now)
 
-    def replace_others(self, now: float, old: float, new: float) -> None:
+    def replace_other_calls(self, now: float, old: float, new: float) -> None:
         """Count an endpoint's calls of other entries anew."""
-        self._others = self.others(now) - old + new
-        self._others_at = max(self._others_at, now)
+        self._other_calls = self.other_calls(now) - old + new
+        self._other_calls_at = max(self._other_calls_at, now)
 
-    def others(self, now: float) -> float:
+    def other_calls(self, now: float) -> float:
         """Return the calls of other entries; they fade like each endpoint's."""
-        return self._others * faded_by_silence(now - self._others_at)
+        return self._other_calls * other_calls_decay(now - self._other_calls_at)
 
     def wait_s(self, now: float, mean_s: float) -> float:
         """
@@ -86,11 +86,11 @@
             return 0.0
         ratio = self.pending / max(1, self.outstanding)
         on_the_way = min(MOST_ON_THE_WAY, max(1.0, ratio))
-        others = max(0.0, self.others(now)) * on_the_way
+        others = max(0.0, self.other_calls(now)) * on_the_way
         ahead = self.pending + others + 1 - self.capacity
         return max(0.0, ahead) * mean_s / self.capacity
 
 
-def faded_by_silence(age_s: float) -> float:
+def other_calls_decay(age_s: float) -> float:
     """Return the share left of calls of other entries that were last heard of."""
     return 0.5 ** (age_s / STALE_S) if age_s > 0 else 1.0
--- a/packages/policy/src/amaranthtally/policy/prefixes.py
+++ b/packages/policy/src/amaranthtally/policy/prefixes.py
@@ -44,23 +44,23 @@
     def __len__(self) -> int:
         return len(self._holders)
 
-    def ran(self, now: float, endpoint: str, prefix: tuple[int, ...]) -> None:
+    def add_run(self, now: float, endpoint: str, prefix: tuple[int, ...]) -> None:
         """Note that an endpoint has just run a request with this prefix."""
         self._add(now, endpoint, prefix)
 
-    def event(self, now: float, endpoint: str, event: CacheEvent) -> None:
+    def apply_event(self, now: float, endpoint: str, event: CacheEvent) -> None:
         """Take an endpoint's cache event; one older than the last is ignored."""
         last = self._serials.get(endpoint)
         if last is not None and event.serial <= last:
             return
         if last is not None and event.serial != last + 1:
-            self.forget(endpoint)
+            self.invalidate(endpoint)
         self._serials[endpoint] = event.serial
         for block in event.removed:
             self._remove(endpoint, block)
         self._add(now, endpoint, event.stored)
 
-    def forget(self, endpoint: str) -> None:
+    def invalidate(self, endpoint: str) -> None:
         """Trust nothing that was known of an endpoint's cache."""
         self._epochs[endpoint] = self._epochs.get(endpoint, 0) + 1
 
--- a/packages/policy/src/amaranthtally/policy/slopes.py
+++ b/packages/policy/src/amaranthtally/policy/regression.py
@@ -1,11 +1,11 @@
 """Fading regressions: by how much one learned quantity changes with another."""
 
-__all__ = ["FadingSlope"]
+__all__ = ["DecayingRegression"]
 
 WEIGHT = 0.005
 
 
-class FadingSlope:
+class DecayingRegression:
     """
     A regression of ``y`` on ``x`` in which old samples fade.
 
--- a/packages/policy/src/amaranthtally/policy/routing.py
+++ b/packages/policy/src/amaranthtally/policy/routing.py
@@ -9,8 +9,13 @@
 from amaranthtally.policy.loads import EndpointLoad, LoadTable
 from amaranthtally.policy.model import Endpoint
 from amaranthtally.policy.prefixes import PrefixIndex
+from amaranthtally.policy.scoring import (
+    CandidateScorer,
+    Choice,
+    NetworkCosts,
+    RouteRequest,
+)
 from amaranthtally.policy.stage_times import StageStats
-from amaranthtally.policy.weighing import Choice, Prices, RouteRequest, Weighing
 
 __all__ = ["Router"]
 
@@ -49,7 +54,7 @@
         self._stale: list[str] = []
         self._region = ""
         self._remote_latency_s = 0.0
-        self._prices = Prices("", 0.0, self.round_trip_s)
+        self._prices = NetworkCosts("", 0.0, self.round_trip_s)
 
     def configure(
         self, region: str, remote_latency_s: float, price_per_gb: float
@@ -57,7 +62,7 @@
         """Use this region, latency (one way, seconds) and price of traffic."""
         self._region = region
         self._remote_latency_s = remote_latency_s
-        self._prices = Prices(region, price_per_gb, self.round_trip_s)
+        self._prices = NetworkCosts(region, price_per_gb, self.round_trip_s)
 
     def round_trip_s(self, region: str) -> float:
         """Return the learned time on the way to a region and back, in seconds."""
@@ -72,12 +77,12 @@
         current = self.round_trip_s(region)
         self._latency_s[region] = current + LATENCY_WEIGHT * (seconds - current)
 
-    def take_stale(self) -> list[str]:
+    def pop_stale_endpoints(self) -> list[str]:
         """Return registered candidates of late whose reports are old, once."""
         stale, self._stale = self._stale, []
         return [name for name in stale if self._groups.find(name) is not None]
 
-    def likely_place(self, now: float, arrival: Arrival) -> str:
+    def predicted_data_centre(self, now: float, arrival: Arrival) -> str:
         """Return the data centre in which a request will likely run, or nothing."""
         return ""
 
@@ -85,7 +90,7 @@
         self, now: float, wanted: RouteRequest, stats: StageStats
     ) -> Choice | None:
         """Return the best candidate, or ``None`` when the pool takes no work."""
-        regions = self._groups.of(wanted.stage)
+        regions = self._groups.candidates(wanted.stage)
         group = regions.get(self._region, [])
         held = self._held_shares(now, wanted, group, stats)
         loads = [*self._draw(now, group, wanted), *self._holders(now, held, wanted)]
@@ -98,8 +103,8 @@
         self, now: float, wanted: RouteRequest, stats: StageStats, endpoint: Endpoint
     ) -> Choice:
         """Return what is predicted of one endpoint."""
-        weighing = Weighing(now, wanted, stats, self._prices)
-        return weighing.weigh(self._loads.open(endpoint), 0.0)
+        weighing = CandidateScorer(now, wanted, stats, self._prices)
+        return weighing.evaluate(self._loads.get_or_create(endpoint), 0.0)
 
     # Candidates
 
@@ -123,14 +128,14 @@
         self, now: float, group: Iterable[Endpoint], wanted: RouteRequest
     ) -> list[EndpointLoad]:
         found = []
-        avoid, model = wanted.avoid, wanted.stage.model
+        avoid, model = wanted.excluded, wanted.stage.model
         is_ejected = self._ejections.is_ejected
-        open_load = self._loads.open
+        open_load = self._loads.get_or_create
         for endpoint in group:
             if endpoint.id in avoid or is_ejected(endpoint.id):
                 continue
             load = open_load(endpoint)
-            if load.takes(model):
+            if load.accepts(model):
                 found.append(load)
             elif not load.leaving:
                 # Its word that it has loaded the model may have been lost with a
@@ -151,7 +156,7 @@
         # Where work waits, or loads are not known, calls for one prefix would gather
         # in the queues of its few holders and end late, each a little cheaper.
         pool = self._loads.pool(wanted.stage.pool)
-        if pool.trust < LEAST_TRUST or pool.wait_s(now, stats.mean_s) > 0:
+        if pool.report_weight < LEAST_TRUST or pool.wait_s(now, stats.mean_s) > 0:
             return {}
         held = {}
         for match in self._prefixes.matches(now, wanted.prefix):
@@ -182,10 +187,10 @@
         # Equal scores are common when idle: without the shuffle they would all
         # fall to the endpoint that is listed first.
         self._random.shuffle(loads)
-        weigh = Weighing(now, wanted, stats, self._prices).weigh
+        weigh = CandidateScorer(now, wanted, stats, self._prices).evaluate
         old = now - STALE_REPORT_S
         for load in loads:
-            if load.heard_at < old:
+            if load.reported_at < old:
                 self._note_age(now, load)
             cached = held.get(load.endpoint.id, 0.0) if held else 0.0
             choice = weigh(load, cached)
@@ -195,6 +200,9 @@
 
     def _note_age(self, now: float, load: EndpointLoad) -> None:
         """Note that a report is old, unless a newer one has been asked for."""
-        if load.asked_at < now - STALE_REPORT_S and len(self._stale) < MOST_STALE:
-            load.asked_at = now
+        if (
+            load.report_requested_at < now - STALE_REPORT_S
+            and len(self._stale) < MOST_STALE
+        ):
+            load.report_requested_at = now
             self._stale.append(load.endpoint.id)
--- a/packages/policy/src/amaranthtally/policy/weighing.py
+++ b/packages/policy/src/amaranthtally/policy/scoring.py
@@ -8,7 +8,7 @@
 from amaranthtally.policy.piece_graph import StoredResult
 from amaranthtally.policy.stage_times import StageStats
 
-__all__ = ["Choice", "Prices", "RouteRequest", "Weighing"]
+__all__ = ["CandidateScorer", "Choice", "NetworkCosts", "RouteRequest"]
 
 TIME_WEIGHT = 0.1
 BYTES_PER_GB = 1e9
@@ -24,12 +24,12 @@
     """
 
     stage: Stage
-    end: float
+    target_end: float
     latest_end: float
     weight: float
     input_bytes: float
     prefix: tuple[int, ...] = ()
-    avoid: frozenset[str] = frozenset()
+    excluded: frozenset[str] = frozenset()
     prefix_sizes: tuple[int, ...] = ()
     inputs: tuple[StoredResult, ...] = ()
 
@@ -38,7 +38,7 @@
     """
     An endpoint, and what is predicted of an attempt there.
 
-    ``before_s`` is spent waiting and on the way, ``run_s`` running beside
+    ``delay_s`` is spent waiting and on the way, ``run_s`` running beside
     ``beside`` other calls with a share of its prefix ``cached``; ``risk`` is the
     probability of ending too late, ``price`` in units of the stage's typical run.
     A tuple: one is made for each candidate, and a data class takes five times as
@@ -46,16 +46,16 @@
     """
 
     endpoint: Endpoint
-    before_s: float
+    delay_s: float
     run_s: float
-    beside: float
-    cached: float
+    concurrent: float
+    cached_share: float
     risk: float
     price: float
     score: float
 
 
-class Prices(NamedTuple):
+class NetworkCosts(NamedTuple):
     """Where an entry stands, what traffic to elsewhere costs, the way there."""
 
     region: str
@@ -63,7 +63,7 @@
     round_trip_s: Callable[[str], float]
 
 
-class Weighing:
+class CandidateScorer:
     """Weighs the candidates of one attempt; what they share is worked out once."""
 
     __slots__ = (
@@ -80,27 +80,27 @@
     )
 
     def __init__(
-        self, now: float, wanted: RouteRequest, stats: StageStats, prices: Prices
+        self, now: float, wanted: RouteRequest, stats: StageStats, prices: NetworkCosts
     ) -> None:
         self._now = now
         self._stats = stats
         self._prices = prices
         self._mean_s = stats.mean_s
         self._weight = wanted.weight
-        self._until_end = wanted.end - now
+        self._until_end = wanted.target_end - now
         self._left = max(wanted.latest_end - now, self._mean_s)
         self._per_s = wanted.stage.price_per_s
         self._unit = max(self._mean_s * self._per_s, LEAST_PRICE)
         traffic = wanted.input_bytes + stats.output_bytes
         self._traffic = traffic / BYTES_PER_GB * prices.per_gb
 
-    def weigh(self, load: EndpointLoad, cached: float) -> Choice:
+    def evaluate(self, load: EndpointLoad, cached: float) -> Choice:
         """Return what is predicted of an endpoint that holds a share of the prefix."""
         stats = self._stats
         now = self._now
         region = load.endpoint.region
         occupancy = load.occupancy(now)
-        beside = load.beside(occupancy)
+        beside = load.concurrent(occupancy)
         slowness = load.slowness(now)
         run = stats.mean_beside_s(beside) * slowness
         if cached:
@@ -113,7 +113,7 @@
         # predicted to be longer or shorter shifts it.
         shift = run / self._mean_s
         late = stats.tail((self._until_end - before) / shift)
-        risk = 1.0 - (1.0 - late) * (1.0 - load.failing(now))
+        risk = 1.0 - (1.0 - late) * (1.0 - load.failure_rate(now))
         price = self._price(region, run + stats.burden_s(beside))
         score = (
             self._weight * risk
--- a/packages/policy/src/amaranthtally/policy/stage_times.py
+++ b/packages/policy/src/amaranthtally/policy/stage_times.py
@@ -5,7 +5,7 @@
 
 from amaranthtally.policy.model import Stage
 from amaranthtally.policy.quantiles import TimeSketch
-from amaranthtally.policy.slopes import FadingSlope
+from amaranthtally.policy.regression import DecayingRegression
 
 __all__ = ["StageStats", "StageTimes"]
 
@@ -67,8 +67,8 @@
         self._pace = TimeSketch()
         self._pace_s = 0.0
         self._until_pace = int(ENOUGH_SAMPLES)
-        self._crowding = FadingSlope(CROWDING_PRIOR_VARIANCE)
-        self._saving = FadingSlope(SAVING_PRIOR_VARIANCE)
+        self._crowding = DecayingRegression(CROWDING_PRIOR_VARIANCE)
+        self._saving = DecayingRegression(SAVING_PRIOR_VARIANCE)
         self._has_runs = False
         self._mean_beside = 0.0
         self._most_beside = 0.0
--- a/packages/policy/src/amaranthtally/policy/stream_watch.py
+++ b/packages/policy/src/amaranthtally/policy/stream_watch.py
@@ -3,9 +3,9 @@
 from amaranthtally.policy.loads import LoadTable
 from amaranthtally.policy.model import Stage
 from amaranthtally.policy.requests import LiveAttempt, Request
+from amaranthtally.policy.scoring import Choice
 from amaranthtally.policy.stage_times import StageStats, StageTimes
 from amaranthtally.policy.streams import Stream
-from amaranthtally.policy.weighing import Choice
 
 __all__ = ["STUCK_FACTOR", "StreamWatch"]
 
@@ -37,10 +37,10 @@
         if interval_s <= 0 or load is None:
             return
         stats = self._times.of(stage)
-        beside = load.beside(max(0.0, load.occupancy(now) - 1.0))
+        beside = load.concurrent(max(0.0, load.occupancy(now) - 1.0))
         usual_s = stats.pace_beside_s(beside)
         if usual_s > 0:
-            load.note_pace(now, interval_s / usual_s)
+            load.note_chunk_time(now, interval_s / usual_s)
         stats.add_pace(interval_s, beside)
 
     def note_quiet(self, now: float, attempt: LiveAttempt, stats: StageStats) -> None:
@@ -58,7 +58,7 @@
             return
         ratio = (now - heard_at) / usual_s
         if ratio >= OVERDUE:
-            load.note_pace(now, ratio)
+            load.note_chunk_time(now, ratio)
 
     def risk(
         self, now: float, attempt: LiveAttempt, end: float, stats: StageStats
@@ -91,11 +91,11 @@
     ) -> float:
         """Return the probability that the rest of a stream ends late elsewhere."""
         stats = self._times.of(request.current)
-        done_s = request.chunks * stats.pace_beside_s(choice.beside)
+        done_s = request.chunks * stats.pace_beside_s(choice.concurrent)
         slowness = choice.run_s / stats.mean_s
-        left_s = (end - now - choice.before_s) / slowness
+        left_s = (end - now - choice.delay_s) / slowness
         load = self._loads.find(choice.endpoint.id)
-        failing = load.failing(now) if load is not None else 0.0
+        failing = load.failure_rate(now) if load is not None else 0.0
         return 1.0 - (1.0 - _tail_after(stats, done_s, left_s)) * (1.0 - failing)
 
 
--- a/tests/policy/test_affinity.py
+++ b/tests/policy/test_affinity.py
@@ -134,4 +134,4 @@
 def test_where_a_prompt_will_be_read_is_known_before_its_pieces_are_made():
     engines = {k: v for k, v in ENGINES.items() if v.region == IASI}
     router = planner(engines=engines)._router
-    assert router.likely_place(1.0, arrival("r", session(1, 1))) == IASI
+    assert router.predicted_data_centre(1.0, arrival("r", session(1, 1))) == IASI
--- a/tests/policy/test_endpoint_directory.py
+++ b/tests/policy/test_endpoint_directory.py
@@ -15,7 +15,7 @@
 
 def test_a_record_that_is_removed_names_no_endpoint():
     found = directory("a", "b")
-    found.removed(1.0, "a")
+    found.record_removed(1.0, "a")
     assert set(found.endpoints) == {"b"}
 
 
@@ -25,8 +25,8 @@
     away; on its return it names no endpoint until they have written again.
     """
     found = directory("a", "b")
-    found.lost()
-    found.regained(10.0)
+    found.connection_lost()
+    found.connection_restored(10.0)
     found.replace(10.0, [])
     assert set(found.endpoints) == {"a", "b"}
     found.put(endpoint("a"))
@@ -37,9 +37,9 @@
 
 def test_a_removal_just_after_the_return_is_waited_for_too():
     found = directory("a")
-    found.lost()
-    found.regained(10.0)
-    found.removed(10.5, "a")
+    found.connection_lost()
+    found.connection_restored(10.0)
+    found.record_removed(10.5, "a")
     assert set(found.endpoints) == {"a"}
     found.expire(12.1)
     assert set(found.endpoints) == set()
@@ -47,14 +47,14 @@
 
 def test_an_endpoint_that_leaves_meanwhile_takes_no_calls():
     found = directory("a")
-    found.lost()
-    found.regained(10.0)
+    found.connection_lost()
+    found.connection_restored(10.0)
     found.put(endpoint("a", takes_calls=False))
     assert not found.endpoints["a"].takes_calls
 
 
 def test_a_register_that_was_never_away_is_believed_at_once():
     found = directory("a")
-    found.regained(10.0)
+    found.connection_restored(10.0)
     found.replace(10.0, [])
     assert set(found.endpoints) == set()
--- a/tests/policy/test_model_orders.py
+++ b/tests/policy/test_model_orders.py
@@ -2,8 +2,13 @@
 
 import pytest
 
-from amaranthtally.policy import EngineModels, ModelUse, WantedModels, plan_orders
-from amaranthtally.policy.model_orders import MOST_ORDERS, Load, SetRole, Unload
+from amaranthtally.policy import (
+    DesiredModels,
+    EngineModels,
+    ModelUsage,
+    plan_model_orders,
+)
+from amaranthtally.policy.model_orders import MAX_ORDERS, Load, SetRole, Unload
 
 OLD, NEW, OTHER = "m@1", "m@2", "n+a@1"
 WAIT_S = 10.0
@@ -15,15 +20,15 @@
 
 
 def unused(**fields):
-    return ModelUse(quiet_s=LONG_AGO, **fields)
+    return ModelUsage(idle_s=LONG_AGO, **fields)
 
 
 def step(wanted, held, use=None):
-    return plan_orders(wanted, held, use or unused(), WAIT_S)
+    return plan_model_orders(wanted, held, use or unused(), WAIT_S)
 
 
 def test_a_new_version_is_loaded_before_the_old_one_is_given_up():
-    wanted = WantedModels((NEW,))
+    wanted = DesiredModels((NEW,))
     loading = step(wanted, engine(OLD))
     assert loading.orders == (Load(NEW),)
     assert not loading.retired
@@ -38,32 +43,32 @@
 @pytest.mark.parametrize(
     "use",
     [
-        ModelUse(quiet_s={OLD: WAIT_S - 0.1}),
-        unused(needed=frozenset({OLD})),
+        ModelUsage(idle_s={OLD: WAIT_S - 0.1}),
+        unused(required=frozenset({OLD})),
     ],
 )
 def test_what_is_still_asked_for_is_answered(use):
-    plan = step(WantedModels((NEW,)), engine(OLD, NEW), use)
+    plan = step(DesiredModels((NEW,)), engine(OLD, NEW), use)
     assert not plan.retired
     assert plan.orders == ()
 
 
 def test_an_unload_waits_for_running_calls():
     use = unused(retired=frozenset({OLD}), running={OLD: 1})
-    plan = step(WantedModels((NEW,)), engine(OLD, NEW), use)
+    plan = step(DesiredModels((NEW,)), engine(OLD, NEW), use)
     assert plan.retired == {OLD}
     assert plan.orders == ()
     assert plan.pending
 
 
 def test_a_model_that_is_wanted_again_is_answered_again():
-    plan = step(WantedModels((OLD,)), engine(OLD), unused(retired=frozenset({OLD})))
+    plan = step(DesiredModels((OLD,)), engine(OLD), unused(retired=frozenset({OLD})))
     assert not plan.retired
     assert plan.orders == ()
 
 
 def test_without_room_an_unwanted_model_makes_place_and_no_more_than_that():
-    wanted = WantedModels((NEW,), slots=2)
+    wanted = DesiredModels((NEW,), slots=2)
     use = unused(retired=frozenset({OLD, OTHER}))
     plan = step(wanted, engine(OLD, OTHER), use)
     assert plan.retired == {OLD}
@@ -71,14 +76,14 @@
 
 
 def test_without_room_and_nothing_to_spare_it_says_so():
-    use = ModelUse(quiet_s={})
-    plan = step(WantedModels((NEW,), slots=1), engine(OLD), use)
+    use = ModelUsage(idle_s={})
+    plan = step(DesiredModels((NEW,), slots=1), engine(OLD), use)
     assert plan.orders == ()
-    assert "no room for m@2" in plan.stuck
+    assert "no room for m@2" in plan.blocked_reason
 
 
 def test_a_role_changes_only_while_nothing_runs():
-    wanted = WantedModels((OLD,), "decode")
+    wanted = DesiredModels((OLD,), "decode")
     first = step(wanted, engine(OLD))
     assert first.paused
     assert first.orders == ()
@@ -91,20 +96,20 @@
 
 
 def test_an_engine_that_cannot_answer_gets_no_calls():
-    wanted = WantedModels((OLD, NEW), "both")
+    wanted = DesiredModels((OLD, NEW), "both")
     assert step(wanted, engine(OLD, role="prefill")).paused
-    assert step(WantedModels((OLD,), "prefill"), engine(OLD, role="prefill")).paused
+    assert step(DesiredModels((OLD,), "prefill"), engine(OLD, role="prefill")).paused
 
 
 def test_one_step_gives_few_orders():
     many = tuple(f"m{number}" for number in range(20))
-    assert len(step(WantedModels(many), engine()).orders) == MOST_ORDERS
+    assert len(step(DesiredModels(many), engine()).orders) == MAX_ORDERS
     held = engine(NEW, *many)
-    use = ModelUse(
-        quiet_s=dict.fromkeys(many, WAIT_S), retired=frozenset(many), running={}
+    use = ModelUsage(
+        idle_s=dict.fromkeys(many, WAIT_S), retired=frozenset(many), running={}
     )
-    assert len(step(WantedModels((NEW,)), held, use).orders) == MOST_ORDERS
+    assert len(step(DesiredModels((NEW,)), held, use).orders) == MAX_ORDERS
 
 
 def test_an_endpoint_without_models_of_its_own_is_left_alone():
-    assert step(WantedModels(), engine(OLD, NEW)).orders == ()
+    assert step(DesiredModels(), engine(OLD, NEW)).orders == ()
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from amaranthtally.policy import CacheEvent
-from amaranthtally.policy.groups import SUBSET, EndpointGroups
+from amaranthtally.policy.groups import LOCAL_SUBSET_SIZE, EndpointGroups
 from amaranthtally.policy.model import Pipeline, Stage
 from amaranthtally.policy.prefixes import PrefixIndex
 from tests.policy.support import (
@@ -98,7 +98,7 @@
         feeder.planner.load_report(now + 0.05, send.endpoint, own)
         feeder.reply(now + 0.05, send, run_s=0.05)
         feeder.planner.load_report(now + 0.06, send.endpoint, report(0))
-    assert feeder.planner._loads.pool("engine").trust == 1.0
+    assert feeder.planner._loads.pool("engine").report_weight == 1.0
 
 
 def test_no_two_decisions_take_an_endpoint_for_equally_idle():
@@ -180,19 +180,19 @@
     that told of the eviction was lost.
     """
     index = PrefixIndex()
-    index.event(1.0, "engine-0", CacheEvent(1, stored=(7,)))
+    index.apply_event(1.0, "engine-0", CacheEvent(1, stored=(7,)))
     assert index.matches(1.0, (7,))
-    index.event(2.0, "engine-0", CacheEvent(4, stored=(9,)))
+    index.apply_event(2.0, "engine-0", CacheEvent(4, stored=(9,)))
     assert not index.matches(2.0, (7,))
     assert index.matches(2.0, (9,))
-    index.event(3.0, "engine-0", CacheEvent(3, stored=(7,)))
+    index.apply_event(3.0, "engine-0", CacheEvent(3, stored=(7,)))
     assert not index.matches(3.0, (7,))
 
 
 def test_the_prefix_index_is_bounded():
     index = PrefixIndex(capacity=100)
     for block in range(1000):
-        index.ran(1.0, "engine-0", (block,))
+        index.add_run(1.0, "engine-0", (block,))
     assert len(index) == 100
     assert index.matches(1.0, (999,))
 
@@ -206,12 +206,12 @@
     groups = EndpointGroups(Random(1))
     groups.replace(HOME, found)
     stage = Stage("generate", "engine")
-    before = {e.id for e in groups.of(stage)[HOME]}
-    assert len(before) == SUBSET
+    before = {e.id for e in groups.candidates(stage)[HOME]}
+    assert len(before) == LOCAL_SUBSET_SIZE
     gone = next(iter(before))
     groups.replace(HOME, {k: v for k, v in found.items() if k != gone})
-    after = {e.id for e in groups.of(stage)[HOME]}
-    assert len(after) == SUBSET
+    after = {e.id for e in groups.candidates(stage)[HOME]}
+    assert len(after) == LOCAL_SUBSET_SIZE
     assert before - after == {gone}
 
 
--- a/tests/policy_machines/test_machines.py
+++ b/tests/policy_machines/test_machines.py
@@ -43,7 +43,7 @@
 MUTANTS = {
     "budgets are ignored": (RatioBudget, "take", take_always),
     "everything counts as not run": (Request, "nothing_started", True),
-    "endpoints never leave": (Membership, "leaving", lambda *_: None),
+    "endpoints never leave": (Membership, "mark_leaving", lambda *_: None),
     "attempts are not cancelled": (Ledger, "cancel_all", lambda *_: []),
     "deadlines pass unnoticed": (Planner, "_too_late", lambda *_: []),
 }
--- a/tests/prefixes/test_digests.py
+++ b/tests/prefixes/test_digests.py
@@ -41,7 +41,7 @@
     def take(self, news, incarnation=1):
         event = self.follower.take("engine", incarnation, news)
         if event is not None:
-            self.index.event(0.0, "engine", event)
+            self.index.apply_event(0.0, "engine", event)
 
     def believed(self):
         """Return the blocks that the entry takes the engine to hold."""
