--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -29,9 +29,9 @@
     LoadReport,
     Outcome,
     Peer,
-    PieceAsk,
+    PieceJob,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
     Planner,
     PolicySettings,
     Reason,
@@ -128,7 +128,9 @@
     @property
     def peers_to_check(self) -> frozenset[str]:
         """The gateways to be asked whether they live."""
-        return self._planner.asked_peers | self._planner.shut_peers(self._time())
+        return self._planner.awaited_peers | self._planner.unavailable_peers(
+            self._time()
+        )
 
     def leave(self) -> None:
         """Make no more pieces for others."""
@@ -214,20 +216,20 @@
         """Tell the policy that a gateway did not answer."""
         self._decisions.carry_out(self._planner.peer_failed(self._time(), peer))
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """Tell the policy that a gateway answers and takes part."""
-        if peer not in self._planner.shut_peers(self._time()):
+        if peer not in self._planner.unavailable_peers(self._time()):
             return
         log.info("peer_back", peer=peer)
-        self._decisions.carry_out(self._planner.peer_back(self._time(), peer))
+        self._decisions.carry_out(self._planner.peer_recovered(self._time(), peer))
 
-    def pieces_asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def pieces_asked(self, asker: str, asks: Sequence[PieceJob]) -> None:
         """Tell the policy what a gateway wants made."""
         self._decisions.wake()
         actions = self._planner.pieces_asked(self._time(), asker, asks)
         self._decisions.carry_out(actions)
 
-    def pieces_told(self, told: Sequence[PieceTold]) -> None:
+    def pieces_told(self, told: Sequence[PieceReport]) -> None:
         """Tell the policy what became of pieces at a gateway."""
         self._decisions.carry_out(self._planner.pieces_told(self._time(), told))
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -7,7 +7,7 @@
 from amaranthtally.daemon.gateway.executor import GatewayExecutor
 from amaranthtally.daemon.gateway.record_follower import RecordFollower
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire.documents import (
     Document,
     DocumentPart,
@@ -85,11 +85,11 @@
         else:
             self._take_records(version, records)
 
-    def asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def asked(self, asker: str, asks: Sequence[PieceJob]) -> None:
         """Take pieces that a peer wants made."""
         self._executor.pieces_asked(asker, asks)
 
-    def told(self, told: Sequence[PieceTold]) -> None:
+    def told(self, told: Sequence[PieceReport]) -> None:
         """Hear what became of pieces."""
         self._executor.pieces_told(told)
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_links.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_links.py
@@ -6,7 +6,7 @@
 
 from amaranthtally.daemon.lifecycle import split_address
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire import PeerLostError
 from amaranthtally.wire.documents import DocumentPart, PartRequest
 from amaranthtally.wire.gateway_codec import Greeting, Versions
@@ -41,7 +41,7 @@
     def peer_failed(self, peer: str) -> None:
         """Hear that a peer did not answer."""
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """Hear that a peer answers and takes part."""
 
     def results_not_passed(self, results: Sequence[StoredResult]) -> None:
@@ -77,11 +77,11 @@
             if addresses.get(name) != client.peer:
                 self._drop(name)
 
-    def ask(self, peer: str, asks: Sequence[PieceAsk]) -> None:
+    def ask(self, peer: str, asks: Sequence[PieceJob]) -> None:
         """Ask a peer for pieces."""
         self._spawn(self._ask(peer, asks))
 
-    def tell(self, peer: str, told: Sequence[PieceTold]) -> None:
+    def tell(self, peer: str, told: Sequence[PieceReport]) -> None:
         """Tell a peer what became of pieces; it asks again where this is lost."""
         self._spawn(self._tell(peer, told))
 
@@ -104,7 +104,7 @@
         for name in list(self._clients):
             self._drop(name)
 
-    async def _ask(self, peer: str, asks: Sequence[PieceAsk]) -> None:
+    async def _ask(self, peer: str, asks: Sequence[PieceJob]) -> None:
         try:
             now = self._loop.time()
             await self._call(peer, lambda client: client.ask(self._name, asks, now))
@@ -128,9 +128,9 @@
         # One that has started anew and has no configuration yet would hand back
         # whatever it is asked for.
         if answer.versions.configuration and not answer.leaving:
-            self._listener.peer_back(peer)
+            self._listener.peer_recovered(peer)
 
-    async def _tell(self, peer: str, told: Sequence[PieceTold]) -> None:
+    async def _tell(self, peer: str, told: Sequence[PieceReport]) -> None:
         for _ in range(TELL_TRIES):
             try:
                 await self._call(peer, lambda client: client.tell(told))
--- a/packages/policy/src/amaranthtally/policy/__init__.py
+++ b/packages/policy/src/amaranthtally/policy/__init__.py
@@ -40,7 +40,6 @@
     route_arrival,
     route_pipeline,
 )
-from amaranthtally.policy.gathering import Gatherer
 from amaranthtally.policy.invariants import InvariantError
 from amaranthtally.policy.ledger import Counters
 from amaranthtally.policy.model import (
@@ -60,16 +59,17 @@
 )
 from amaranthtally.policy.parts import Parts
 from amaranthtally.policy.peer_directory import PeerDirectory, PeerRecord
+from amaranthtally.policy.piece_coordinator import PieceCoordinator
 from amaranthtally.policy.piece_graph import Piece, StoredResult
 from amaranthtally.policy.piece_messages import (
-    PieceAsk,
     PieceFault,
+    PieceJob,
     PieceOutcome,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
 )
-from amaranthtally.policy.places import Peer
 from amaranthtally.policy.planner import Planner
+from amaranthtally.policy.pool_sites import Peer
 from amaranthtally.policy.routes import (
     Account,
     CallerLimits,
@@ -110,7 +110,7 @@
     "Fate",
     "FreeAtPeer",
     "FreeResults",
-    "Gatherer",
+    "PieceCoordinator",
     "Greet",
     "InvariantError",
     "LoadReport",
@@ -122,13 +122,13 @@
     "PeerDirectory",
     "PeerRecord",
     "Piece",
-    "PieceAsk",
+    "PieceJob",
     "PieceFault",
     "PieceLimits",
     "PieceOrder",
     "PieceOutcome",
     "PieceStage",
-    "PieceTold",
+    "PieceReport",
     "PieceWork",
     "PiecesEnded",
     "Pipeline",
--- a/packages/policy/src/amaranthtally/policy/actions.py
+++ b/packages/policy/src/amaranthtally/policy/actions.py
@@ -6,7 +6,7 @@
 
 from amaranthtally.policy.model import AttemptId
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.piece_messages import PieceAsk, PieceTold
+from amaranthtally.policy.piece_messages import PieceJob, PieceReport
 
 __all__ = [
     "Action",
@@ -168,7 +168,7 @@
     """Ask another entry to have pieces made by the endpoints that it calls."""
 
     peer: str
-    asks: tuple[PieceAsk, ...]
+    asks: tuple[PieceJob, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
     """Tell another entry what became of pieces that it asked for."""
 
     peer: str
-    told: tuple[PieceTold, ...]
+    told: tuple[PieceReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/policy/src/amaranthtally/policy/admission.py
+++ b/packages/policy/src/amaranthtally/policy/admission.py
@@ -65,7 +65,7 @@
     def judge(self, now: float, arrival: Arrival) -> Verdict:
         """Decide, and count the request for its account."""
         stages = arrival.pipeline.stages
-        work_s = self._times.typical_s(stages)
+        work_s = self._times.median_s(stages)
         self._accounts.offered(now, arrival.account, work_s)
         rate_wait = self._accounts.rate_wait_s(now, arrival.account)
         if rate_wait > 0:
@@ -103,7 +103,7 @@
     def _backlog(self, now: float, stage: Stage) -> _Backlog:
         pool = self._loads.pool(stage.pool)
         # While work waits, every slot is taken, and batches are at their slowest.
-        mean_s = self._times.of(stage).full_mean_s
+        mean_s = self._times.of(stage).peak_mean_s
         return _Backlog(pool.wait_s(now, mean_s), mean_s, pool.pending == 0)
 
     def refused(self, reason: Reason, wait_s: float) -> Verdict:
--- a/packages/policy/src/amaranthtally/policy/affinity.py
+++ b/packages/policy/src/amaranthtally/policy/affinity.py
@@ -108,7 +108,7 @@
         failing = load.failing(now)
         score = before + read_s + away_s + place_s + FAILURE_S * failing
         beside = load.beside(occupancy)
-        run_s = stats.mean_beside_s(beside) * load.slowness(now)
+        run_s = stats.loaded_mean_s(beside) * load.slowness(now)
         return Choice(load.endpoint, before, run_s, beside, share, failing, 0.0, score)
 
     def _places(
--- a/packages/policy/src/amaranthtally/policy/batcher.py
+++ b/packages/policy/src/amaranthtally/policy/batcher.py
@@ -14,16 +14,16 @@
 from amaranthtally.policy.model import Endpoint
 from amaranthtally.policy.piece_graph import Piece, StoredResult
 from amaranthtally.policy.piece_messages import (
-    PieceAsk,
     PieceFault,
+    PieceJob,
     PieceOutcome,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
 )
-from amaranthtally.policy.piece_queue import Waiting
+from amaranthtally.policy.piece_queue import QueuedPiece
 from amaranthtally.policy.piece_servers import PieceServer, PieceServers
-from amaranthtally.policy.place_queue import PlaceQueue
 from amaranthtally.policy.routes import Pool
+from amaranthtally.policy.site_queue import SiteQueue
 
 __all__ = ["Batcher", "Batches"]
 
@@ -58,7 +58,7 @@
         self._servers = servers or PieceServers()
         self._fill = fill
         self._linger_s = linger_s
-        self._queues: dict[tuple[str, str], PlaceQueue] = {}
+        self._queues: dict[tuple[str, str], SiteQueue] = {}
         # Pieces that wait or run, so that none is taken twice.
         self._known: set[Piece] = set()
         self._calls: dict[int, PieceCall] = {}
@@ -103,7 +103,7 @@
         best = min(servers, key=lambda server: server.wait_s(now))
         return best.wait_s(now) + calls * best.full_call_s(now)
 
-    def slower_s(self, now: float, pool: str, data_centre: str) -> float:
+    def slowdown_s(self, now: float, pool: str, data_centre: str) -> float:
         """Return by how much longer than usual a call there is predicted to take."""
         servers = self._servers.at(pool, data_centre)
         if not servers:
@@ -113,7 +113,7 @@
 
     # Events
 
-    def take(self, now: float, asks: Iterable[PieceAsk]) -> Batches:
+    def take(self, now: float, asks: Iterable[PieceJob]) -> Batches:
         """
         Take pieces, and send what can be sent.
 
@@ -170,11 +170,11 @@
         self._forget(waiting)
         return self.refuse(w.ask for w in waiting)
 
-    def refuse(self, asks: Iterable[PieceAsk]) -> Batches:
+    def refuse(self, asks: Iterable[PieceJob]) -> Batches:
         """Let askers ask another entry, as this one makes no pieces for them."""
         batches = Batches()
         for ask in asks:
-            told = PieceTold(
+            told = PieceReport(
                 ask.piece, ask.pool, ask.data_centre, fault=PieceFault.HANDED_BACK
             )
             batches.told.setdefault(ask.asker, []).append(told)
@@ -220,7 +220,7 @@
         now: float,
         endpoint: str,
         server: PieceServer | None,
-        ask: PieceAsk,
+        ask: PieceJob,
         outcome: PieceOutcome,
         has_freed: bool,
         batches: Batches,
@@ -231,7 +231,7 @@
             if not has_freed:
                 self._queue(now, ask)
                 return
-            outcome = PieceOutcome(fault=PieceFault.INPUT_GONE)
+            outcome = PieceOutcome(fault=PieceFault.INPUT_MISSING)
         if server is not None and outcome.handle:
             server.keeps(now, outcome.handle, ask.result_bytes)
         self._tell(now, ask, endpoint, outcome, batches, has_freed)
@@ -239,7 +239,7 @@
     def _call_failed(
         self,
         now: float,
-        ask: PieceAsk,
+        ask: PieceJob,
         end: PiecesEnded,
         has_freed: bool,
         batches: Batches,
@@ -250,24 +250,24 @@
             outcome = PieceOutcome(fault=PieceFault.FAILED)
             self._tell(now, ask, "", outcome, batches, has_freed)
 
-    def _queue(self, now: float, ask: PieceAsk) -> None:
+    def _queue(self, now: float, ask: PieceJob) -> None:
         place = (ask.pool, ask.data_centre)
         self._known.add(ask.piece)
-        self._queues.setdefault(place, PlaceQueue()).add(Waiting(ask, now))
+        self._queues.setdefault(place, SiteQueue()).add(QueuedPiece(ask, now))
 
-    def _forget(self, several: Iterable[Waiting]) -> None:
+    def _forget(self, several: Iterable[QueuedPiece]) -> None:
         self._known.difference_update(waiting.ask.piece for waiting in several)
 
     def _tell(
         self,
         now: float,
-        ask: PieceAsk,
+        ask: PieceJob,
         endpoint: str,
         outcome: PieceOutcome,
         batches: Batches,
         inputs_freed: bool = False,
     ) -> None:
-        told = PieceTold(
+        told = PieceReport(
             ask.piece,
             ask.pool,
             ask.data_centre,
@@ -276,7 +276,7 @@
             outcome.fault,
             self.wait_s(now, ask.pool, ask.data_centre, ask.priority),
             inputs_freed,
-            self.slower_s(now, ask.pool, ask.data_centre),
+            self.slowdown_s(now, ask.pool, ask.data_centre),
         )
         batches.told.setdefault(ask.asker, []).append(told)
 
@@ -294,7 +294,7 @@
                 return
             if server.is_open(now) and self._is_due(now, server, queue):
                 fill = self._fill(
-                    now, queue.waiting, server.limits, server.room_bytes(now)
+                    now, queue.waiting, server.limits, server.free_bytes(now)
                 )
                 if fill.pieces:
                     batches.actions.append(self._send(now, server, queue, fill))
@@ -302,7 +302,7 @@
         if not any(server.is_usable(now) for server in servers):
             self._give_back(now, queue, not servers, batches)
 
-    def _is_due(self, now: float, server: PieceServer, queue: PlaceQueue) -> bool:
+    def _is_due(self, now: float, server: PieceServer, queue: SiteQueue) -> bool:
         """Whether there is enough for a call, or a piece has waited for others."""
         if len(queue) >= server.limits.batch:
             return True
@@ -312,18 +312,20 @@
         self,
         now: float,
         server: PieceServer,
-        queue: PlaceQueue,
+        queue: SiteQueue,
         fill: CallFill,
     ) -> RunPieces:
         self._next_call += 1
         queue.remove(fill.pieces)
         asks = tuple(waiting.ask for waiting in fill.pieces)
-        is_alone = server.is_alone(now)
+        is_only_caller = server.is_only_caller(now)
         timeout_s = server.timeout_s(now, len(asks))
         size = sum(ask.result_bytes for ask in asks)
         server.sent(now, self._next_call, len(asks), size)
         whole = (
-            self._reads.note(now, self._next_call, asks) if is_alone else frozenset()
+            self._reads.note(now, self._next_call, asks)
+            if is_only_caller
+            else frozenset()
         )
         self._calls[self._next_call] = PieceCall(server.endpoint.id, asks, whole)
         orders = tuple(piece_order(ask) for ask in asks)
@@ -334,7 +336,7 @@
     def _drop_crowded_out(
         self,
         now: float,
-        queue: PlaceQueue,
+        queue: SiteQueue,
         servers: list[PieceServer],
         batches: Batches,
     ) -> None:
@@ -350,11 +352,11 @@
             late = self._take_crowded_out(now, queue)
             self._tell_fault(now, late, PieceFault.LATE, batches)
 
-    def _take_crowded_out(self, now: float, queue: PlaceQueue) -> list[Waiting]:
+    def _take_crowded_out(self, now: float, queue: SiteQueue) -> list[QueuedPiece]:
         return queue.take_late_unbegun(now)
 
     def _give_back(
-        self, now: float, queue: PlaceQueue, at_once: bool, batches: Batches
+        self, now: float, queue: SiteQueue, at_once: bool, batches: Batches
     ) -> None:
         """Let pieces be asked for elsewhere, as no endpoint here takes them."""
         kept_s = 0.0 if at_once else GIVE_BACK_S
@@ -362,7 +364,11 @@
         self._tell_fault(now, given, PieceFault.FAILED, batches)
 
     def _tell_fault(
-        self, now: float, several: list[Waiting], fault: PieceFault, batches: Batches
+        self,
+        now: float,
+        several: list[QueuedPiece],
+        fault: PieceFault,
+        batches: Batches,
     ) -> None:
         self._forget(several)
         for waiting in several:
--- a/packages/policy/src/amaranthtally/policy/batches.py
+++ b/packages/policy/src/amaranthtally/policy/batches.py
@@ -5,7 +5,7 @@
 
 from amaranthtally.policy.actions import Action, PieceOrder
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.piece_messages import PieceAsk, PiecesEnded, PieceTold
+from amaranthtally.policy.piece_messages import PieceJob, PieceReport, PiecesEnded
 
 __all__ = ["Batches", "PieceCall", "piece_order", "unmade_requests"]
 
@@ -20,18 +20,18 @@
 
     actions: list[Action] = field(default_factory=list)
     read: list[StoredResult] = field(default_factory=list)
-    told: dict[str, list[PieceTold]] = field(default_factory=dict)
+    told: dict[str, list[PieceReport]] = field(default_factory=dict)
 
 
 class PieceCall(NamedTuple):
     """A call under way; ``whole`` are requests that have every sibling in it."""
 
     endpoint: str
-    asks: tuple[PieceAsk, ...]
+    asks: tuple[PieceJob, ...]
     whole: frozenset[str]
 
 
-def piece_order(ask: PieceAsk) -> PieceOrder:
+def piece_order(ask: PieceJob) -> PieceOrder:
     """Return what an endpoint is told of a piece."""
     return PieceOrder(
         ask.piece.request_id,
--- a/packages/policy/src/amaranthtally/policy/call_filling.py
+++ b/packages/policy/src/amaranthtally/policy/call_filling.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from amaranthtally.policy.actions import CallFacts
-from amaranthtally.policy.piece_queue import Waiting, as_many, by_part
+from amaranthtally.policy.piece_queue import QueuedPiece, by_part, take_fitting
 from amaranthtally.policy.routes import PieceLimits
 
 __all__ = ["CallFill", "FillCall", "Shortage", "fill_call"]
@@ -14,7 +14,7 @@
 class Shortage(Enum):
     """Why a call has places left."""
 
-    NOTHING = "full"
+    NONE = "full"
     WORK = "work"
     WHOLE_REQUESTS = "whole_requests"
     MEMORY = "memory"
@@ -23,15 +23,15 @@
 class CallFill(NamedTuple):
     """The pieces of a call, and what decided on them."""
 
-    pieces: tuple[Waiting, ...]
+    pieces: tuple[QueuedPiece, ...]
     facts: CallFacts
 
 
-FillCall = Callable[[float, list[Waiting], PieceLimits, float], CallFill]
+FillCall = Callable[[float, list[QueuedPiece], PieceLimits, float], CallFill]
 
 
 def fill_call(
-    now: float, queue: list[Waiting], limits: PieceLimits, memory_bytes: float
+    now: float, queue: list[QueuedPiece], limits: PieceLimits, memory_bytes: float
 ) -> CallFill:
     """
     Choose the most urgent pieces for a call: all of a part where they fit.
@@ -41,7 +41,7 @@
     """
     free = limits.batch
     left = memory_bytes
-    chosen: list[Waiting] = []
+    chosen: list[QueuedPiece] = []
     groups = by_part(queue, limits)
     groups.sort(key=lambda group: min(w.urgency(now, limits.share_s) for w in group))
     for group in groups:
@@ -50,7 +50,7 @@
             chosen += group
             free -= len(group)
             left -= size
-    chosen = chosen or as_many(groups[0], free, left)
+    chosen = chosen or take_fitting(groups[0], free, left)
     facts = CallFacts(
         limits.batch,
         len(queue),
@@ -62,11 +62,11 @@
 
 
 def _shortage(
-    groups: list[list[Waiting]], chosen: list[Waiting], places: int
+    groups: list[list[QueuedPiece]], chosen: list[QueuedPiece], places: int
 ) -> Shortage:
     free = places - len(chosen)
     if not free:
-        return Shortage.NOTHING
+        return Shortage.NONE
     taken = {id(waiting) for waiting in chosen}
     others = [group for group in groups if id(group[0]) not in taken]
     if not others:
--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -126,12 +126,12 @@
     def _first_look_s(self, stage: Stage, choice: Choice) -> float:
         """Return after how much of its run an attempt is first looked at."""
         stats = self._times.of(stage)
-        chunk_s = stats.pace_beside_s(choice.beside) if stage.streams else 0.0
-        return min(stats.late_s, FIRST_CHUNKS * chunk_s) if chunk_s else stats.late_s
+        chunk_s = stats.chunk_time_s(choice.beside) if stage.streams else 0.0
+        return min(stats.p95_s, FIRST_CHUNKS * chunk_s) if chunk_s else stats.p95_s
 
     def _next_look(self, now: float, attempt: LiveAttempt, stats: StageStats) -> float:
         # A stream's next chunk, or its lack, tells more.
-        chunk_s = stats.pace_beside_s(attempt.beside)
+        chunk_s = stats.chunk_time_s(attempt.beside)
         again_s = chunk_s or LOOK_AGAIN_SHARE * (now - attempt.sent_at)
         return now + max(LOOK_AGAIN_S, again_s)
 
@@ -234,18 +234,18 @@
         stats: StageStats,
     ) -> float:
         """Return the probability that an attempt ends late, given how long it ran."""
-        if request.current.streams and stats.pace_beside_s(attempt.beside) > 0:
+        if request.current.streams and stats.chunk_time_s(attempt.beside) > 0:
             return self._streams.risk(now, attempt, wanted.end, stats)
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
         so_long = stats.tail(ran)
         # Longer than nearly any run on record: the endpoint is taken to be stuck.
-        if stats.known and ran > STUCK_FACTOR * stats.slow_s:
+        if stats.known and ran > STUCK_FACTOR * stats.p99_s:
             return 1.0
         left = max(0.0, wanted.end - now)
         healthy = stats.tail(ran + left) / so_long if so_long else 0.0
         # Beyond the slow quantile it is as likely an endpoint that has become slow
         # as a long run, and soon another attempt would come too late.
-        last_call = ran > stats.slow_s and left < LAST_CALL * stats.likely_s
+        last_call = ran > stats.p99_s and left < LAST_CALL * stats.p90_s
         return max(healthy, SUSPICION) if last_call else healthy
 
     # Sending
--- a/packages/policy/src/amaranthtally/policy/input_reads.py
+++ b/packages/policy/src/amaranthtally/policy/input_reads.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.piece_messages import PieceAsk
+from amaranthtally.policy.piece_messages import PieceJob
 
 __all__ = ["InputReads"]
 
@@ -39,7 +39,7 @@
         """Whether anything is being read."""
         return bool(self._reading)
 
-    def note(self, now: float, call: int, asks: tuple[PieceAsk, ...]) -> frozenset[str]:
+    def note(self, now: float, call: int, asks: tuple[PieceJob, ...]) -> frozenset[str]:
         """
         Note a call that begins at once; return the requests whose inputs it frees.
 
--- a/packages/policy/src/amaranthtally/policy/learning.py
+++ b/packages/policy/src/amaranthtally/policy/learning.py
@@ -44,7 +44,7 @@
         stats = self._times.of(request.current)
         for attempt in request.live.values():
             ran = now - attempt.sent_at - attempt.wait_s
-            if ran > stats.typical_s:
+            if ran > stats.median_s:
                 stats.add(ran, int(stats.output_bytes), attempt.beside)
             self._ejections.probe_dropped(attempt.endpoint)
 
@@ -85,7 +85,7 @@
             return
         stats = self._times.of(request.current)
         if stats.known and not ended.stream.pace_s:
-            load.note_run(now, result.run_s / stats.mean_beside_s(ended.beside))
+            load.note_run(now, result.run_s / stats.loaded_mean_s(ended.beside))
         stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
         on_the_way = now - ended.sent_at - result.run_s - result.queued_s
         if not ended.asks:
--- a/packages/policy/src/amaranthtally/policy/parts.py
+++ b/packages/policy/src/amaranthtally/policy/parts.py
@@ -7,9 +7,9 @@
 from amaranthtally.policy.accounts import AccountShares
 from amaranthtally.policy.admission import Admission
 from amaranthtally.policy.ejection import Ejections
-from amaranthtally.policy.gathering import Gatherer
 from amaranthtally.policy.groups import EndpointGroups
 from amaranthtally.policy.loads import LoadTable
+from amaranthtally.policy.piece_coordinator import PieceCoordinator
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.policy.request_inputs import RequestInputs
 from amaranthtally.policy.routing import Router
@@ -21,7 +21,7 @@
 BuildRouter = Callable[
     [Random, EndpointGroups, LoadTable, Ejections, PrefixIndex], Router
 ]
-BuildInputs = Callable[[Random, Gatherer, StageTimes], RequestInputs]
+BuildInputs = Callable[[Random, PieceCoordinator, StageTimes], RequestInputs]
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,5 +34,5 @@
     accounts: Callable[[], AccountShares] = AccountShares
     admission: BuildAdmission = Admission
     router: BuildRouter = Router
-    gatherer: Callable[[], Gatherer] = Gatherer
+    coordinator: Callable[[], PieceCoordinator] = PieceCoordinator
     inputs: BuildInputs = RequestInputs
--- a/packages/policy/src/amaranthtally/policy/gathering.py
+++ b/packages/policy/src/amaranthtally/policy/piece_coordinator.py
@@ -4,25 +4,25 @@
 from dataclasses import replace
 
 from amaranthtally.policy.actions import Action, AskPeer, FreeAtPeer, TellPeer
-from amaranthtally.policy.asked_pieces import AskedPiece, AskedPieces
 from amaranthtally.policy.batcher import Batcher, Batches
 from amaranthtally.policy.first_events import DEFAULT_S
-from amaranthtally.policy.gathered import GatheredRequest, Gathering
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.model import Endpoint
 from amaranthtally.policy.piece_graph import Piece, PieceGraph, StoredResult
 from amaranthtally.policy.piece_messages import (
-    PieceAsk,
     PieceFault,
+    PieceJob,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
 )
-from amaranthtally.policy.places import Peer, Places
-from amaranthtally.policy.result_freer import ResultFreer
+from amaranthtally.policy.pool_sites import Peer, PoolSites
+from amaranthtally.policy.result_releaser import ResultFreer
 from amaranthtally.policy.routes import PieceStage, Pool
 from amaranthtally.policy.stage_plans import StagePlans
+from amaranthtally.policy.staged_requests import CoordinatorEffects, StagedRequest
+from amaranthtally.policy.submitted_pieces import AskedPiece, AskedPieces
 
-__all__ = ["Gatherer", "Gathering"]
+__all__ = ["PieceCoordinator", "CoordinatorEffects"]
 
 # Failures of one piece before its request is given up: one for an endpoint that has
 # gone, one for an entry that asked it, one for a second endpoint.
@@ -36,7 +36,7 @@
 NOWHERE: Mapping[Piece, str] = {}
 
 
-class Gatherer:
+class PieceCoordinator:
     """
     Follows the stage graphs of an entry's requests and has their pieces made.
 
@@ -48,14 +48,14 @@
     def __init__(
         self,
         batcher: Batcher | None = None,
-        places: Places | None = None,
-        build_plans: Callable[[Places, Batcher], StagePlans] = StagePlans,
+        places: PoolSites | None = None,
+        build_plans: Callable[[PoolSites, Batcher], StagePlans] = StagePlans,
     ) -> None:
         self._batcher = batcher or Batcher()
-        self._places = places or Places()
+        self._places = places or PoolSites()
         self._freer = ResultFreer(self._batcher, self._places)
         self._plans = build_plans(self._places, self._batcher)
-        self._gathered: dict[str, GatheredRequest] = {}
+        self._gathered: dict[str, StagedRequest] = {}
         self._asked = AskedPieces()
 
     @property
@@ -108,7 +108,7 @@
         priority: int,
         reader: str = "",
         engine_s: float = DEFAULT_S,
-    ) -> Gathering:
+    ) -> CoordinatorEffects:
         """
         Take a request in and have its first pieces made.
 
@@ -117,13 +117,13 @@
         """
         ensure(request_id not in self._gathered, "a request's pieces begin once")
         graph = PieceGraph(request_id, stages, counts)
-        found = GatheredRequest(
+        found = StagedRequest(
             graph, key, objective, deadline, priority, reader, engine_s
         )
         self._gathered[request_id] = found
         return self._advance(now, found)
 
-    def begin_again(self, now: float, request_id: str) -> Gathering:
+    def recompute_inputs(self, now: float, request_id: str) -> CoordinatorEffects:
         """Make the results that a request reads once more, as one is gone."""
         found = self._gathered[request_id]
         freed = self._freer.free(now, found.graph.lose_request_inputs())
@@ -131,15 +131,19 @@
         news.actions[:0] = freed
         return news
 
-    def calls_ended(self, now: float, call_id: int, end: PiecesEnded) -> Gathering:
+    def call_ended(
+        self, now: float, call_id: int, end: PiecesEnded
+    ) -> CoordinatorEffects:
         """Take the end of a call of this entry."""
-        news = Gathering()
+        news = CoordinatorEffects()
         self._pass_on(now, self._batcher.ended(now, call_id, end), news)
         return news
 
-    def asked(self, now: float, asker: str, asks: Iterable[PieceAsk]) -> Gathering:
+    def accept_jobs(
+        self, now: float, asker: str, asks: Iterable[PieceJob]
+    ) -> CoordinatorEffects:
         """Take pieces that another entry wants made."""
-        news = Gathering()
+        news = CoordinatorEffects()
         theirs = [replace(ask, asker=asker) for ask in asks]
         # The asker had not heard that this entry leaves, or has started anew and knows
         # no pools: taken, the pieces would be told to have failed, and everybody would
@@ -151,13 +155,15 @@
         self._pass_on(now, take, news)
         return news
 
-    def told(self, now: float, told: Iterable[PieceTold]) -> Gathering:
+    def take_reports(
+        self, now: float, told: Iterable[PieceReport]
+    ) -> CoordinatorEffects:
         """Hear what became of pieces."""
-        news = Gathering()
+        news = CoordinatorEffects()
         self._take_told(now, told, news)
         return news
 
-    def freed_by_peer(
+    def free_for_peer(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
     ) -> list[Action]:
         """Drop results that another entry has read, and a request that has ended."""
@@ -165,20 +171,20 @@
             self._batcher.withdraw(ended)
         return self._batcher.free(now, results)
 
-    def peer_failed(self, now: float, peer: str) -> Gathering:
+    def peer_failed(self, now: float, peer: str) -> CoordinatorEffects:
         """Have the pieces made elsewhere that a peer was asked for."""
         self._places.peer_failed(now, peer)
-        news = Gathering()
+        news = CoordinatorEffects()
         self._ask_again(now, self._asked.of_owner(peer), news)
         return news
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """Ask a peer for pieces again, as it answers and takes part."""
-        self._places.peer_back(peer)
+        self._places.peer_recovered(peer)
 
-    def tick(self, now: float) -> Gathering:
+    def tick(self, now: float) -> CoordinatorEffects:
         """Send what waited; ask once more for what was not heard of."""
-        news = Gathering()
+        news = CoordinatorEffects()
         late = self._asked.overdue(now)
         # Its call may only wait: asked for in another place, it would be made twice.
         stay = {piece: asked.data_centre for piece, asked in late.items()}
@@ -186,21 +192,21 @@
         self._pass_on(now, self._batcher.tick(now), news)
         return news
 
-    def leave(self, now: float) -> Gathering:
+    def leave(self, now: float) -> CoordinatorEffects:
         """Own nothing from now on, and hand back what waits here."""
         self._places.leave()
-        news = Gathering()
+        news = CoordinatorEffects()
         self._pass_on(now, self._batcher.hand_back(), news)
         return news
 
     @property
-    def asked_peers(self) -> frozenset[str]:
+    def awaited_peers(self) -> frozenset[str]:
         """The entries that were asked for pieces and have not told of all."""
         return self._asked.owners
 
-    def shut_peers(self, now: float) -> frozenset[str]:
+    def unavailable_peers(self, now: float) -> frozenset[str]:
         """Return the live peers that are asked for nothing, as they failed."""
-        return self._places.shut_peers(now)
+        return self._places.unavailable_peers(now)
 
     def close(self, now: float, request_id: str) -> list[Action]:
         """Forget a request that has ended, and free its results."""
@@ -221,12 +227,14 @@
 
     # Asking
 
-    def _advance(self, now: float, found: GatheredRequest) -> Gathering:
-        news = Gathering()
+    def _advance(self, now: float, found: StagedRequest) -> CoordinatorEffects:
+        news = CoordinatorEffects()
         self._ask_due(now, found, news)
         return news
 
-    def _ask_due(self, now: float, found: GatheredRequest, news: Gathering) -> None:
+    def _ask_due(
+        self, now: float, found: StagedRequest, news: CoordinatorEffects
+    ) -> None:
         self._ask(now, found, self._plans.take_due(found.graph), news)
         if found.graph.is_done:
             news.ready.append(found.graph.request_id)
@@ -234,13 +242,13 @@
     def _ask(
         self,
         now: float,
-        found: GatheredRequest,
+        found: StagedRequest,
         pieces: list[Piece],
-        news: Gathering,
+        news: CoordinatorEffects,
         stay: Mapping[Piece, str] = NOWHERE,
     ) -> None:
         """Ask for pieces; ``stay`` names where some are to be made."""
-        by_owner: dict[str, list[PieceAsk]] = {}
+        by_owner: dict[str, list[PieceJob]] = {}
         places: dict[tuple[int, int], str | None] = {}
         for piece in pieces:
             part = (piece.stage, self._plans.part_of(found.graph, piece))
@@ -266,20 +274,20 @@
             else:
                 self._pass_on(now, self._batcher.take(now, asks), news)
 
-    def _plan_place(self, now: float, found: GatheredRequest, stage: int) -> str | None:
+    def _plan_place(self, now: float, found: StagedRequest, stage: int) -> str | None:
         on_time_by = found.objective - found.engine_s
-        return self._plans.place_of(
+        return self._plans.choose_data_centre(
             now, found.graph, stage, found.reader, on_time_by, found.priority
         )
 
     def _ask_for(
-        self, now: float, found: GatheredRequest, piece: Piece, place: str
-    ) -> PieceAsk:
+        self, now: float, found: StagedRequest, piece: Piece, place: str
+    ) -> PieceJob:
         stage = found.graph.stages[piece.stage]
         after_s = self._plans.after_s(found.graph, piece.stage)
         share_s = self._plans.share_s(stage.pool)
-        self._places.asked(now, stage.pool, place, share_s, found.priority)
-        return PieceAsk(
+        self._places.note_submitted(now, stage.pool, place, share_s, found.priority)
+        return PieceJob(
             piece,
             stage.pool,
             place,
@@ -290,14 +298,14 @@
             "" if stage.after else found.key,
             found.graph.inputs_of(piece),
             found.graph.count(piece.stage),
-            found.graph.is_begun,
+            found.graph.is_started,
         )
 
     def _ask_again(
         self,
         now: float,
         pieces: Iterable[Piece],
-        news: Gathering,
+        news: CoordinatorEffects,
         failed: bool = True,
         stay: Mapping[Piece, str] = NOWHERE,
     ) -> None:
@@ -317,13 +325,13 @@
             if request_id not in news.failed:
                 self._ask(now, self._gathered[request_id], several, news, stay)
 
-    def _patience_until(self, now: float, ask: PieceAsk) -> float:
+    def _patience_until(self, now: float, ask: PieceJob) -> float:
         wait_s = self._plans.wait_s(now, ask.pool, ask.data_centre, ask.priority)
         return now + 2.0 * (wait_s + self._plans.call_s(ask.pool)) + PATIENCE_S
 
     # Hearing
 
-    def _pass_on(self, now: float, batches: Batches, news: Gathering) -> None:
+    def _pass_on(self, now: float, batches: Batches, news: CoordinatorEffects) -> None:
         news.actions += batches.actions
         news.actions += self._freer.free(now, batches.read)
         for asker, told in batches.told.items():
@@ -333,7 +341,7 @@
                 self._take_told(now, told, news)
 
     def _take_told(
-        self, now: float, told: Iterable[PieceTold], news: Gathering
+        self, now: float, told: Iterable[PieceReport], news: CoordinatorEffects
     ) -> None:
         touched: dict[str, None] = {}
         for one in told:
@@ -352,15 +360,17 @@
     def _take_one(
         self,
         now: float,
-        found: GatheredRequest,
-        told: PieceTold,
+        found: StagedRequest,
+        told: PieceReport,
         owner: str,
-        news: Gathering,
+        news: CoordinatorEffects,
     ) -> None:
         piece = told.piece
         if told.fault is None:
             place = (told.pool, told.data_centre)
-            self._places.heard(now, *place, told.wait_s, told.slower_s, found.priority)
+            self._places.update_wait(
+                now, *place, told.wait_s, told.slowdown_s, found.priority
+            )
             size = found.graph.stages[piece.stage].result_bytes
             result = StoredResult(told.handle, told.endpoint, told.data_centre, size)
             found.graph.finished(piece, result)
@@ -371,14 +381,14 @@
             self._ask_again(now, [piece], news, failed=False)
         elif told.fault is PieceFault.LATE:
             news.late.append(piece.request_id)
-        elif told.fault is PieceFault.INPUT_GONE:
+        elif told.fault is PieceFault.INPUT_MISSING:
             news.actions += self._freer.free(now, found.graph.lose_inputs_of(piece))
         else:
             self._places.failed(now, told.pool, told.data_centre)
             self._ask_again(now, [piece], news)
 
     def _continue(
-        self, now: float, request_ids: Iterable[str], news: Gathering
+        self, now: float, request_ids: Iterable[str], news: CoordinatorEffects
     ) -> None:
         """
         Have made what results made due, once what those read is freed.
@@ -394,7 +404,7 @@
             self._ask_due(now, found, news)
 
 
-def _results_of(told: PieceTold) -> list[StoredResult]:
+def _results_of(told: PieceReport) -> list[StoredResult]:
     if told.fault is not None:
         return []
     return [StoredResult(told.handle, told.endpoint, told.data_centre, 0.0)]
--- a/packages/policy/src/amaranthtally/policy/piece_graph.py
+++ b/packages/policy/src/amaranthtally/policy/piece_graph.py
@@ -84,7 +84,7 @@
         )
 
     @property
-    def is_begun(self) -> bool:
+    def is_started(self) -> bool:
         """Whether a piece of any stage has been made."""
         return any(
             record.state is PieceState.DONE
--- a/packages/policy/src/amaranthtally/policy/piece_messages.py
+++ b/packages/policy/src/amaranthtally/policy/piece_messages.py
@@ -6,14 +6,14 @@
 
 from amaranthtally.policy.piece_graph import Piece, StoredResult
 
-__all__ = ["PieceAsk", "PieceFault", "PieceOutcome", "PieceTold", "PiecesEnded"]
+__all__ = ["PieceJob", "PieceFault", "PieceOutcome", "PieceReport", "PiecesEnded"]
 
 
 class PieceFault(Enum):
     """Why no result of a piece was made."""
 
     LATE = "late"
-    INPUT_GONE = "input_gone"
+    INPUT_MISSING = "input_gone"
     NO_ROOM = "no_room"
     FAILED = "failed"
     HANDED_BACK = "handed_back"
@@ -42,14 +42,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PieceAsk:
+class PieceJob:
     """
     A piece that an entry wants made in a data centre; times are time stamps.
 
     Its call must begin by ``start_by`` for its request to be on time, and by
     ``deadline`` for it to be answered at all. ``asker`` names the entry, empty for
     this one. ``key`` or ``inputs`` are what the piece reads, ``siblings`` the
-    pieces of its stage, itself included, that read the same. ``is_begun`` says that
+    pieces of its stage, itself included, that read the same. ``is_started`` says that
     other pieces of its request have been made.
     """
 
@@ -63,15 +63,15 @@
     key: str = ""
     inputs: tuple[StoredResult, ...] = ()
     siblings: int = 1
-    is_begun: bool = False
+    is_started: bool = False
     asker: str = ""
 
 
-class PieceTold(NamedTuple):
+class PieceReport(NamedTuple):
     """
     What became of a piece that was asked for; ``wait_s`` is the wait there of its rank.
 
-    ``slower_s`` is by how much longer than usual a call takes there.
+    ``slowdown_s`` is by how much longer than usual a call takes there.
     ``inputs_freed`` says that what it read was freed as soon as it had been read.
     """
 
@@ -83,4 +83,4 @@
     fault: PieceFault | None = None
     wait_s: float = 0.0
     inputs_freed: bool = False
-    slower_s: float = 0.0
+    slowdown_s: float = 0.0
--- a/packages/policy/src/amaranthtally/policy/piece_queue.py
+++ b/packages/policy/src/amaranthtally/policy/piece_queue.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass
 
-from amaranthtally.policy.piece_messages import PieceAsk
+from amaranthtally.policy.piece_messages import PieceJob
 from amaranthtally.policy.routes import PieceLimits
 
-__all__ = ["Waiting", "as_many", "by_part"]
+__all__ = ["QueuedPiece", "take_fitting", "by_part"]
 
 
 # How much later a request is taken to be due for each second that its pieces take from
@@ -14,10 +14,10 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedPiece:
     """A piece that waits for a call since a time stamp."""
 
-    ask: PieceAsk
+    ask: PieceJob
     since: float
 
     def urgency(self, now: float, share_s: float) -> tuple[bool, int, float, str]:
@@ -36,7 +36,7 @@
         return (late, ask.priority, due, ask.piece.request_id)
 
 
-def by_part(queue: list[Waiting], limits: PieceLimits) -> list[list[Waiting]]:
+def by_part(queue: list[QueuedPiece], limits: PieceLimits) -> list[list[QueuedPiece]]:
     """
     Return the pieces of each request together, whichever stages they belong to.
 
@@ -44,7 +44,7 @@
     late, and meanwhile the results of the others run out of theirs. Only a stage that
     is larger than a call is parted.
     """
-    groups: dict[tuple[str, int], list[Waiting]] = {}
+    groups: dict[tuple[str, int], list[QueuedPiece]] = {}
     for waiting in queue:
         piece = waiting.ask.piece
         part = limits.part_of(piece.number, waiting.ask.siblings)
@@ -52,9 +52,11 @@
     return list(groups.values())
 
 
-def as_many(group: list[Waiting], places: int, room: float) -> list[Waiting]:
+def take_fitting(
+    group: list[QueuedPiece], places: int, room: float
+) -> list[QueuedPiece]:
     """Return as many pieces as fit, of a group that is too large for one call."""
-    chosen: list[Waiting] = []
+    chosen: list[QueuedPiece] = []
     for waiting in group[:places]:
         room -= waiting.ask.result_bytes
         if room < 0:
--- a/packages/policy/src/amaranthtally/policy/piece_servers.py
+++ b/packages/policy/src/amaranthtally/policy/piece_servers.py
@@ -95,7 +95,7 @@
         """Whether calls may be sent once those under way have ended."""
         return not self.leaving and now >= self.shut_until
 
-    def is_alone(self, now: float) -> bool:
+    def is_only_caller(self, now: float) -> bool:
         """
         Whether a call sent now begins at once, as no other entry calls the endpoint.
 
@@ -145,7 +145,7 @@
         wait_s = SLOW_TIMEOUT_FACTOR * self.wait_s(now)
         return max(usual_s, slow_s) + wait_s + TIMEOUT_MARGIN_S
 
-    def room_bytes(self, now: float) -> float:
+    def free_bytes(self, now: float) -> float:
         """Return the memory that is left for results; endless where it is not told."""
         if not self.limits.memory_bytes:
             return float("inf")
@@ -171,8 +171,8 @@
         predicted_s = ended.usual_s * self.slowness(now)
         over_s = now - ended.begins_at - predicted_s
         most_s = max(FOREIGN_CALL_S, FOREIGN_CALL_SHARE * predicted_s)
-        is_alone = has_worked and over_s < most_s
-        self.alone_until = now + ALONE_S if is_alone else now
+        is_only_caller = has_worked and over_s < most_s
+        self.alone_until = now + ALONE_S if is_only_caller else now
         ratio = (now - ended.begins_at) / ended.usual_s
         # One that was given up has lasted at least so long.
         if has_worked or ratio > 1.0:
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -21,7 +21,6 @@
     StageResult,
 )
 from amaranthtally.policy.first_events import FirstEvents
-from amaranthtally.policy.gathering import Gathering
 from amaranthtally.policy.groups import EndpointGroups
 from amaranthtally.policy.learning import Learner
 from amaranthtally.policy.ledger import Counters, Ledger
@@ -29,9 +28,10 @@
 from amaranthtally.policy.membership import Membership
 from amaranthtally.policy.model import AttemptId, PolicySettings
 from amaranthtally.policy.parts import Parts
+from amaranthtally.policy.piece_coordinator import CoordinatorEffects
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.piece_messages import PieceAsk, PiecesEnded, PieceTold
-from amaranthtally.policy.places import Peer
+from amaranthtally.policy.piece_messages import PieceJob, PieceReport, PiecesEnded
+from amaranthtally.policy.pool_sites import Peer
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.policy.requests import LiveAttempt, Request
 from amaranthtally.policy.stream_watch import StreamWatch
@@ -84,9 +84,9 @@
             random, self._times, self._loads, self._accounts
         )
         self._streams = StreamWatch(self._times, self._loads)
-        self._gatherer = parts.gatherer()
+        self._coordinator = parts.coordinator()
         self._first_events = FirstEvents()
-        self._inputs = parts.inputs(random, self._gatherer, self._times)
+        self._inputs = parts.inputs(random, self._coordinator, self._times)
         self._learner = Learner(
             self._times,
             self._loads,
@@ -117,12 +117,12 @@
     @property
     def has_pieces(self) -> bool:
         """Whether pieces are to be made, of whichever entry's requests."""
-        return self._gatherer.batcher.is_busy
+        return self._coordinator.batcher.is_busy
 
     @property
     def pieces_waiting(self) -> int:
         """Pieces that wait for a call here, of whichever entry's requests."""
-        return self._gatherer.batcher.waiting
+        return self._coordinator.batcher.waiting
 
     @property
     def counters(self) -> Counters:
@@ -161,49 +161,49 @@
 
     def pieces_ended(self, now: float, call: int, end: PiecesEnded) -> list[Action]:
         """Take the end of a call with pieces."""
-        return self._follow(now, self._gatherer.calls_ended(now, call, end))
+        return self._follow(now, self._coordinator.call_ended(now, call, end))
 
     def pieces_asked(
-        self, now: float, asker: str, asks: Iterable[PieceAsk]
+        self, now: float, asker: str, asks: Iterable[PieceJob]
     ) -> list[Action]:
         """Take pieces that another entry wants made."""
-        return self._follow(now, self._gatherer.asked(now, asker, asks))
+        return self._follow(now, self._coordinator.accept_jobs(now, asker, asks))
 
-    def pieces_told(self, now: float, told: Iterable[PieceTold]) -> list[Action]:
+    def pieces_told(self, now: float, told: Iterable[PieceReport]) -> list[Action]:
         """Hear from another entry what became of pieces."""
-        return self._follow(now, self._gatherer.told(now, told))
+        return self._follow(now, self._coordinator.take_reports(now, told))
 
     def results_freed(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
     ) -> list[Action]:
         """Take another entry's word that results are read no more, or a request."""
-        return self._gatherer.freed_by_peer(now, results, ended)
+        return self._coordinator.free_for_peer(now, results, ended)
 
     def peers_changed(self, now: float, peers: Iterable[Peer]) -> list[Action]:
         """Use these live entries beside this one."""
-        self._gatherer.replace_peers(peers)
+        self._coordinator.replace_peers(peers)
         return []
 
     @property
-    def asked_peers(self) -> frozenset[str]:
+    def awaited_peers(self) -> frozenset[str]:
         """The entries that make pieces for requests of this one now."""
-        return self._gatherer.asked_peers
+        return self._coordinator.awaited_peers
 
-    def shut_peers(self, now: float) -> frozenset[str]:
+    def unavailable_peers(self, now: float) -> frozenset[str]:
         """Return the live entries that are asked for nothing, as they failed."""
-        return self._gatherer.shut_peers(now)
+        return self._coordinator.unavailable_peers(now)
 
     def leaving(self, now: float) -> list[Action]:
         """Make no more pieces for others, as this entry leaves."""
-        return self._follow(now, self._gatherer.leave(now))
+        return self._follow(now, self._coordinator.leave(now))
 
     def peer_failed(self, now: float, peer: str) -> list[Action]:
         """Ask an entry that did not answer for nothing for a while."""
-        return self._follow(now, self._gatherer.peer_failed(now, peer))
+        return self._follow(now, self._coordinator.peer_failed(now, peer))
 
-    def peer_back(self, now: float, peer: str) -> list[Action]:
+    def peer_recovered(self, now: float, peer: str) -> list[Action]:
         """Ask an entry again that answers and takes part."""
-        self._gatherer.peer_back(peer)
+        self._coordinator.peer_recovered(peer)
         return []
 
     def reply(
@@ -270,15 +270,15 @@
         request = self._ledger.find(request_id)
         if request is None:
             return []
-        return [*self._ledger.gone(request), *self._gatherer.close(now, request_id)]
+        return [*self._ledger.gone(request), *self._coordinator.close(now, request_id)]
 
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
         self._accounts.refresh(now)
         actions = self._membership.greetings(now)
         actions.extend(self._load_questions.take(now))
-        actions.extend(self._inputs.free_read(now, self._ledger))
-        actions.extend(self._follow(now, self._gatherer.tick(now)))
+        actions.extend(self._inputs.free_fetched(now, self._ledger))
+        actions.extend(self._follow(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
             actions.extend(self._look(now, timer))
         return actions
@@ -288,14 +288,14 @@
     def _gather(self, now: float, request: Request, work: PieceWork) -> list[Action]:
         request.gathering = True
         arrival = request.arrival
-        news = self._gatherer.begin(
+        news = self._coordinator.begin(
             now,
             request.id,
             work.stages,
             work.counts,
             work.key,
             arrival.objective or arrival.deadline,
-            self._inputs.made_by(arrival),
+            self._inputs.pieces_deadline(arrival),
             arrival.priority,
             self._router.likely_place(now, arrival),
             self._first_events.usual_s(arrival.pipeline.name),
@@ -309,9 +309,9 @@
         request.gathering = True
         request.retry_cost = retry_cost
         request.inputs = ()
-        return self._follow(now, self._gatherer.begin_again(now, request.id))
+        return self._follow(now, self._coordinator.recompute_inputs(now, request.id))
 
-    def _follow(self, now: float, news: Gathering) -> list[Action]:
+    def _follow(self, now: float, news: CoordinatorEffects) -> list[Action]:
         actions = news.actions
         for request_id in news.failed:
             request = self._ledger.find(request_id)
@@ -320,7 +320,7 @@
         for request_id in news.late:
             request = self._ledger.find(request_id)
             if request is not None:
-                wait_s = self._inputs.return_s(now, request.arrival)
+                wait_s = self._inputs.retry_after_s(now, request.arrival)
                 actions += self._refuse(now, request, Reason.OVERLOAD, wait_s)
         for request_id in news.ready:
             request = self._ledger.find(request_id)
@@ -330,7 +330,7 @@
 
     def _gathered(self, now: float, request: Request) -> list[Action]:
         request.gathering = False
-        request.inputs = self._gatherer.inputs_of(request.id)
+        request.inputs = self._coordinator.inputs_of(request.id)
         self._inputs.note_sent(now, request)
         if not request.number:
             return self._start_stage(now, request)
@@ -355,7 +355,7 @@
         for loser in losers:
             self._learner.overtaken(now, loser, ended)
         if not self._ledger.stage_done(request):
-            freed = self._gatherer.close(now, request.id)
+            freed = self._coordinator.close(now, request.id)
             return [*actions, *freed, self._ledger.answered(request)]
         return actions + self._start_stage(now, request)
 
@@ -448,7 +448,7 @@
         self, now: float, request: Request, reason: Reason, retry_after_s: float = 0.0
     ) -> list[Action]:
         backlog = self._admission.retry_after_s(now, request.remaining)
-        freed = self._gatherer.close(now, request.id)
+        freed = self._coordinator.close(now, request.id)
         wait_s = max(retry_after_s, backlog)
         return [*freed, *self._ledger.refused(request, reason, wait_s)]
 
@@ -471,7 +471,7 @@
     def _configure(self, now: float, settings: PolicySettings) -> None:
         self._settings = settings
         self._membership.replace(now, settings)
-        self._gatherer.configure(
+        self._coordinator.configure(
             settings.entry,
             settings.region,
             settings.data_centre,
--- a/packages/policy/src/amaranthtally/policy/places.py
+++ b/packages/policy/src/amaranthtally/policy/pool_sites.py
@@ -7,7 +7,7 @@
 from amaranthtally.policy.piece_servers import speed_faded
 from amaranthtally.policy.rendezvous import rendezvous_weight
 
-__all__ = ["Peer", "Places"]
+__all__ = ["Peer", "PoolSites"]
 
 # What running away from the entry's own data centre counts for, in seconds: the way
 # there, and what the results' traffic costs, against waiting.
@@ -26,7 +26,7 @@
 # How long a peer that did not answer gets no pieces, in seconds.
 PEER_SHUT_S = 3.0
 
-NOTHING_READ: Mapping[str, float] = {}
+NO_SAVED_BYTES: Mapping[str, float] = {}
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,13 +49,13 @@
 @dataclass(slots=True)
 class _Place:
     waits: dict[int, _Wait] = field(default_factory=dict)
-    slower_s: float = 0.0
+    slowdown_s: float = 0.0
     slower_at: float = 0.0
     shut_until: float = 0.0
     failures: int = 0
 
 
-class Places:
+class PoolSites:
     """
     Finds an owner for each pool in each data centre, without any agreement.
 
@@ -108,7 +108,7 @@
         """Ask a peer for nothing for a while, or until it is heard from."""
         self._peer_shut[peer] = now + PEER_SHUT_S
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """
         Ask a peer again, as it answers and takes part.
 
@@ -119,7 +119,7 @@
         """
         self._peer_shut.pop(peer, None)
 
-    def shut_peers(self, now: float) -> frozenset[str]:
+    def unavailable_peers(self, now: float) -> frozenset[str]:
         """Return the live peers that are asked for nothing now."""
         return frozenset(name for name in self._peers if self._is_shut(now, name))
 
@@ -131,13 +131,13 @@
 
     # Waits
 
-    def heard(
+    def update_wait(
         self,
         now: float,
         pool: str,
         data_centre: str,
         wait_s: float,
-        slower_s: float = 0.0,
+        slowdown_s: float = 0.0,
         rank: int = 0,
     ) -> None:
         """
@@ -145,7 +145,7 @@
 
         More urgent ones wait no longer there, and less urgent ones no less.
 
-        ``slower_s`` is by how much longer than usual a call takes there. A queue gets
+        ``slowdown_s`` is by how much longer than usual a call takes there. A queue gets
         shorter while nothing is heard of it, a slow endpoint no faster: counted alike,
         it looked free a second after each of its calls, and was always busy.
         """
@@ -155,11 +155,11 @@
             if (other < rank and left_s > wait_s) or (other > rank and left_s < wait_s):
                 place.waits[other] = _Wait(wait_s, now)
         place.waits[rank] = _Wait(wait_s, now)
-        place.slower_s = slower_s
+        place.slowdown_s = slowdown_s
         place.slower_at = now
         place.failures = 0
 
-    def asked(
+    def note_submitted(
         self, now: float, pool: str, data_centre: str, more_s: float, rank: int = 0
     ) -> None:
         """Count what was asked for since the place was last heard of."""
@@ -180,15 +180,15 @@
     def wait_s(self, now: float, pool: str, data_centre: str, rank: int = 0) -> float:
         """Return by how much later than in a free place a piece would be made."""
         place = self._of(pool, data_centre)
-        slower_s = place.slower_s * speed_faded(now - place.slower_at)
-        return self._queue_s(now, place, rank) + slower_s
+        slowdown_s = place.slowdown_s * speed_faded(now - place.slower_at)
+        return self._queue_s(now, place, rank) + slowdown_s
 
-    def best(
+    def best_data_centre(
         self,
         now: float,
         pool: str,
         candidates: Mapping[str, Endpoint],
-        reading: Mapping[str, float] = NOTHING_READ,
+        saved_bytes: Mapping[str, float] = NO_SAVED_BYTES,
         spare_s: float = 0.0,
         rank: int = 0,
     ) -> str | None:
@@ -196,9 +196,9 @@
         Return the data centre in which to run pieces of a stage.
 
         ``candidates`` holds an endpoint of each data centre; ``None`` without any.
-        ``reading`` are the bytes that cross no link where the stage runs in that data
-        centre: what it reads there, and what will be read of it there. The more time
-        the request can spare, the more it may wait for those.
+        ``saved_bytes`` maps a data centre to the bytes that cross no link if the stage
+        runs there: the inputs stored there, and the results read there later. The more
+        time the request can spare, the longer it may wait to save that traffic.
         """
         most_s = SPARED_SHARE * max(0.0, spare_s)
         open_places = {
@@ -211,7 +211,7 @@
             key=lambda name: (
                 self.wait_s(now, pool, name, rank)
                 + self.distance_s(open_places[name])
-                - min(most_s, CROSSING_S_PER_BYTE * reading.get(name, 0.0))
+                - min(most_s, CROSSING_S_PER_BYTE * saved_bytes.get(name, 0.0))
             ),
             default=None,
         )
--- a/packages/policy/src/amaranthtally/policy/request_inputs.py
+++ b/packages/policy/src/amaranthtally/policy/request_inputs.py
@@ -7,8 +7,8 @@
 from amaranthtally.policy.actions import Action, Reason
 from amaranthtally.policy.admission import ADMITTED, Verdict
 from amaranthtally.policy.events import Arrival, PieceWork
-from amaranthtally.policy.gathering import Gatherer
 from amaranthtally.policy.ledger import Ledger
+from amaranthtally.policy.piece_coordinator import PieceCoordinator
 from amaranthtally.policy.requests import Request
 from amaranthtally.policy.stage_times import StageTimes
 
@@ -33,9 +33,11 @@
 class RequestInputs:
     """Admits requests by the pieces that they need, and frees what they have read."""
 
-    def __init__(self, random: Random, gatherer: Gatherer, times: StageTimes) -> None:
+    def __init__(
+        self, random: Random, coordinator: PieceCoordinator, times: StageTimes
+    ) -> None:
         self._random = random
-        self._gatherer = gatherer
+        self._coordinator = coordinator
         self._times = times
         self._reading: deque[_Reading] = deque()
 
@@ -46,15 +48,15 @@
         Their endpoints are the first to be full: what waits there past its deadline
         takes the place of what could still be answered.
         """
-        needed_s = self._gatherer.plans.predicted_s(
+        needed_s = self._coordinator.plans.predicted_s(
             now, work.stages, work.counts, arrival.priority
         )
-        late_s = now + needed_s - self.made_by(arrival)
+        late_s = now + needed_s - self.pieces_deadline(arrival)
         if late_s <= 0:
             return ADMITTED
-        return Verdict(Reason.OVERLOAD, max(late_s, self.return_s(now, arrival)))
+        return Verdict(Reason.OVERLOAD, max(late_s, self.retry_after_s(now, arrival)))
 
-    def made_by(self, arrival: Arrival) -> float:
+    def pieces_deadline(self, arrival: Arrival) -> float:
         """
         Return the time stamp by which the pieces of a request must be made.
 
@@ -64,11 +66,11 @@
         run_s = self._times.floor_s(arrival.pipeline.stages)
         return min(arrival.begin_by, arrival.deadline - run_s)
 
-    def return_s(self, now: float, arrival: Arrival) -> float:
+    def retry_after_s(self, now: float, arrival: Arrival) -> float:
         """Return when a request that found no place may come back and find one."""
         if arrival.work is None:
             return 0.0
-        backlog_s = self._gatherer.plans.backlog_s(
+        backlog_s = self._coordinator.plans.backlog_s(
             now, arrival.work.stages, arrival.priority
         )
         return max(LEAST_RETURN_S, backlog_s) * (1.0 + self._random.random())
@@ -78,7 +80,7 @@
         if request.inputs:
             self._reading.append(_Reading(now + FETCH_S, request.id))
 
-    def free_read(self, now: float, ledger: Ledger) -> list[Action]:
+    def free_fetched(self, now: float, ledger: Ledger) -> list[Action]:
         """
         Free the inputs of requests that their engines have fetched by now.
 
@@ -104,4 +106,4 @@
         if not request.inputs:
             return []
         request.inputs = ()
-        return self._gatherer.free_inputs(now, request.id)
+        return self._coordinator.free_inputs(now, request.id)
--- a/packages/policy/src/amaranthtally/policy/result_freer.py
+++ b/packages/policy/src/amaranthtally/policy/result_releaser.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.actions import Action, FreeAtPeer
 from amaranthtally.policy.batcher import Batcher
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.places import Places
+from amaranthtally.policy.pool_sites import PoolSites
 
 __all__ = ["ResultFreer"]
 
@@ -13,7 +13,7 @@
 class ResultFreer:
     """Has results dropped by the entries that call their makers."""
 
-    def __init__(self, batcher: Batcher, places: Places) -> None:
+    def __init__(self, batcher: Batcher, places: PoolSites) -> None:
         self._batcher = batcher
         self._places = places
 
--- a/packages/policy/src/amaranthtally/policy/place_queue.py
+++ b/packages/policy/src/amaranthtally/policy/site_queue.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from math import inf
 
-from amaranthtally.policy.piece_queue import Waiting
+from amaranthtally.policy.piece_queue import QueuedPiece
 
-__all__ = ["PlaceQueue"]
+__all__ = ["SiteQueue"]
 
 
-class PlaceQueue:
+class SiteQueue:
     """
     Waiting pieces in the order in which they came.
 
@@ -21,7 +21,7 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedPiece] = []
         self._starts: dict[int, list[float]] = {}
         self._unbegun_starts: list[float] = []
         self._of_request: Counter[str] = Counter()
@@ -31,15 +31,15 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedPiece]:
         return iter(self._waiting)
 
     @property
-    def waiting(self) -> list[Waiting]:
+    def waiting(self) -> list[QueuedPiece]:
         """The pieces in the order in which they came; not to be changed."""
         return self._waiting
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: QueuedPiece) -> None:
         """Add a piece."""
         ask = waiting.ask
         self._waiting.append(waiting)
@@ -49,7 +49,7 @@
             insort(self._unbegun_starts, ask.start_by)
         self._first_deadline = min(self._first_deadline, ask.deadline)
 
-    def remove(self, several: Iterable[Waiting]) -> None:
+    def remove(self, several: Iterable[QueuedPiece]) -> None:
         """Remove these pieces."""
         taken = {id(waiting): waiting for waiting in several}
         if not taken:
@@ -62,19 +62,19 @@
             if _is_unbegun(waiting):
                 _drop(self._unbegun_starts, ask.start_by)
 
-    def take(self, wanted: Callable[[Waiting], bool]) -> list[Waiting]:
+    def take(self, wanted: Callable[[QueuedPiece], bool]) -> list[QueuedPiece]:
         """Remove and return the pieces that a question is answered with yes for."""
         found = [waiting for waiting in self._waiting if wanted(waiting)]
         self.remove(found)
         return found
 
-    def take_request(self, request_id: str) -> list[Waiting]:
+    def take_request(self, request_id: str) -> list[QueuedPiece]:
         """Remove and return the pieces of a request."""
         if request_id not in self._of_request:
             return []
         return self.take(lambda one: one.ask.piece.request_id == request_id)
 
-    def take_late(self, now: float) -> list[Waiting]:
+    def take_late(self, now: float) -> list[QueuedPiece]:
         """Remove and return what has passed its deadline."""
         if now < self._first_deadline:
             return []
@@ -83,7 +83,7 @@
         self._first_deadline = min(deadlines, default=inf)
         return found
 
-    def take_late_unbegun(self, now: float) -> list[Waiting]:
+    def take_late_unbegun(self, now: float) -> list[QueuedPiece]:
         """Remove and return what can't be on time and of which nothing was made."""
         if not self._unbegun_starts or self._unbegun_starts[0] >= now:
             return []
@@ -103,8 +103,8 @@
             del self._of_request[request_id]
 
 
-def _is_unbegun(waiting: Waiting) -> bool:
-    return not (waiting.ask.is_begun or waiting.ask.inputs)
+def _is_unbegun(waiting: QueuedPiece) -> bool:
+    return not (waiting.ask.is_started or waiting.ask.inputs)
 
 
 def _drop(ordered: list[float], value: float) -> None:
--- a/packages/policy/src/amaranthtally/policy/stage_plans.py
+++ b/packages/policy/src/amaranthtally/policy/stage_plans.py
@@ -4,7 +4,7 @@
 
 from amaranthtally.policy.batcher import Batcher
 from amaranthtally.policy.piece_graph import Piece, PieceGraph
-from amaranthtally.policy.places import Places
+from amaranthtally.policy.pool_sites import PoolSites
 from amaranthtally.policy.routes import PieceLimits, PieceStage, Pool
 
 __all__ = ["StagePlans"]
@@ -19,7 +19,7 @@
     Times are time stamps, and lengths of time, in seconds.
     """
 
-    def __init__(self, places: Places, batcher: Batcher) -> None:
+    def __init__(self, places: PoolSites, batcher: Batcher) -> None:
         self._places = places
         self._batcher = batcher
         self._pools: Mapping[str, Pool] = {}
@@ -58,7 +58,7 @@
     def stage_s(self, now: float, pool: str, rank: int) -> float:
         """Return how long a stage takes where it would be made soonest."""
         candidates = self._batcher.servers.places(pool)
-        place = self._places.best(now, pool, candidates, rank=rank)
+        place = self._places.best_data_centre(now, pool, candidates, rank=rank)
         if place is None:
             return 0.0
         return self.wait_s(now, pool, place, rank) + self.call_s(pool)
@@ -67,7 +67,7 @@
         """Return by how much later than in a free place a piece would be made there."""
         if not self._places.owner(now, pool, data_centre):
             waits_s = self._batcher.wait_s(now, pool, data_centre, rank)
-            return waits_s + self._batcher.slower_s(now, pool, data_centre)
+            return waits_s + self._batcher.slowdown_s(now, pool, data_centre)
         return self._places.wait_s(now, pool, data_centre, rank)
 
     def after_s(self, graph: PieceGraph, stage: int) -> float:
@@ -122,7 +122,7 @@
         }
         return graph.take_due(held)
 
-    def place_of(
+    def choose_data_centre(
         self,
         now: float,
         graph: PieceGraph,
@@ -150,4 +150,6 @@
             reading[reader] = reading.get(reader, 0.0) + made_bytes
         candidates = self._batcher.servers.places(pool)
         spare_s = on_time_by - self.after_s(graph, stage) - now
-        return self._places.best(now, pool, candidates, reading, spare_s, rank)
+        return self._places.best_data_centre(
+            now, pool, candidates, reading, spare_s, rank
+        )
--- a/packages/policy/src/amaranthtally/policy/stage_times.py
+++ b/packages/policy/src/amaranthtally/policy/stage_times.py
@@ -94,28 +94,28 @@
         return self._mean_s
 
     @property
-    def typical_s(self) -> float:
+    def median_s(self) -> float:
         """Median run time in seconds."""
         if self._fresh <= 0:
             self._refresh()
         return self._typical
 
     @property
-    def likely_s(self) -> float:
+    def p90_s(self) -> float:
         """Run time in seconds that one run in ten exceeds."""
         if self._fresh <= 0:
             self._refresh()
         return self._likely
 
     @property
-    def late_s(self) -> float:
+    def p95_s(self) -> float:
         """Run time in seconds that one run in twenty exceeds."""
         if self._fresh <= 0:
             self._refresh()
         return self._late
 
     @property
-    def slow_s(self) -> float:
+    def p99_s(self) -> float:
         """Run time in seconds that one run in a hundred exceeds."""
         if self._fresh <= 0:
             self._refresh()
@@ -147,7 +147,7 @@
 
         ``cached`` is the share of its prefix that its endpoint was taken to hold.
         """
-        self._saving.add(cached, 1.0 - run_s / self.mean_beside_s(beside))
+        self._saving.add(cached, 1.0 - run_s / self.loaded_mean_s(beside))
         self._run.add(run_s)
         self._crowding.add(beside, run_s)
         self._note_mean()
@@ -156,30 +156,30 @@
         self._fresh -= 1
 
     @property
-    def full_mean_s(self) -> float:
+    def peak_mean_s(self) -> float:
         """Mean run time in seconds beside the most calls seen lately."""
-        return self.mean_beside_s(self._most_beside)
+        return self.loaded_mean_s(self._most_beside)
 
-    def mean_beside_s(self, beside: float) -> float:
+    def loaded_mean_s(self, beside: float) -> float:
         """Return the mean run time beside so many other calls, in seconds."""
         mean = self._mean_s
         beside_s = mean + self._slope_s * (beside - self._mean_beside)
         least = mean * LEAST_OF_MEAN
         return beside_s if beside_s > least else least
 
-    def add_pace(self, chunk_s: float, beside: float) -> None:
+    def add_chunk_time(self, chunk_s: float, beside: float) -> None:
         """Learn from the seconds that a chunk took beside so many other calls."""
-        self._pace.add(chunk_s * self._mean_s / self.mean_beside_s(beside))
+        self._pace.add(chunk_s * self._mean_s / self.loaded_mean_s(beside))
         self._until_pace -= 1
         if self._until_pace <= 0:
             self._until_pace = MEMO_SAMPLES
             self._pace_s = self._pace.quantile(TYPICAL)
 
-    def pace_beside_s(self, beside: float) -> float:
+    def chunk_time_s(self, beside: float) -> float:
         """Return the median time of a chunk, in seconds; 0 until known."""
-        return self._pace_s * self.mean_beside_s(beside) / self._mean_s
+        return self._pace_s * self.loaded_mean_s(beside) / self._mean_s
 
-    def burden_s(self, beside: float) -> float:
+    def added_delay_s(self, beside: float) -> float:
         """Return by how much one more call lengthens those beside it, in seconds."""
         return self._slope_s * beside
 
@@ -245,15 +245,15 @@
         total = 0.0
         for stage in stages:
             stats = self.of(stage)
-            total += stats.typical_s
-            spread += (stats.likely_s - stats.typical_s) ** 2
+            total += stats.median_s
+            spread += (stats.p90_s - stats.median_s) ** 2
         return total + sqrt(spread)
 
-    def typical_s(self, stages: Sequence[Stage]) -> float:
+    def median_s(self, stages: Sequence[Stage]) -> float:
         """Return the sum of the median run times, in seconds."""
         total = 0.0
         for stage in stages:
-            total += self.of(stage).typical_s
+            total += self.of(stage).median_s
         return total
 
     def floor_s(self, stages: Sequence[Stage]) -> float:
@@ -265,11 +265,11 @@
 
     def slowest(self, stages: Sequence[Stage]) -> Stage:
         """Return the stage whose slow runs take longest."""
-        return max(stages, key=lambda stage: self.of(stage).slow_s)
+        return max(stages, key=lambda stage: self.of(stage).p99_s)
 
     def latest_finish(self, deadline: float, later: Sequence[Stage]) -> float:
         """Return when a stage must end for the ``later`` ones to be typical."""
-        return deadline - self.typical_s(later)
+        return deadline - self.median_s(later)
 
     def share_end(self, now: float, deadline: float, stages: Sequence[Stage]) -> float:
         """
@@ -278,9 +278,9 @@
         Slack is split in proportion to the slow quantiles, so that a stage that
         varies much gets more of it.
         """
-        first = self.of(stages[0]).slow_s
+        first = self.of(stages[0]).p99_s
         total = first
         for stage in stages[1:]:
-            total += self.of(stage).slow_s
+            total += self.of(stage).p99_s
         left = max(0.0, deadline - now)
         return now + left * first / max(total, 1e-9)
--- a/packages/policy/src/amaranthtally/policy/gathered.py
+++ b/packages/policy/src/amaranthtally/policy/staged_requests.py
@@ -5,11 +5,11 @@
 from amaranthtally.policy.actions import Action
 from amaranthtally.policy.piece_graph import PieceGraph
 
-__all__ = ["GatheredRequest", "Gathering"]
+__all__ = ["StagedRequest", "CoordinatorEffects"]
 
 
 @dataclass(slots=True)
-class GatheredRequest:
+class StagedRequest:
     """
     A request whose pieces are made; times are time stamps in seconds.
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Gathering:
+class CoordinatorEffects:
     """
     What follows from an event.
 
--- a/packages/policy/src/amaranthtally/policy/stream_watch.py
+++ b/packages/policy/src/amaranthtally/policy/stream_watch.py
@@ -38,10 +38,10 @@
             return
         stats = self._times.of(stage)
         beside = load.beside(max(0.0, load.occupancy(now) - 1.0))
-        usual_s = stats.pace_beside_s(beside)
+        usual_s = stats.chunk_time_s(beside)
         if usual_s > 0:
             load.note_pace(now, interval_s / usual_s)
-        stats.add_pace(interval_s, beside)
+        stats.add_chunk_time(interval_s, beside)
 
     def note_quiet(self, now: float, attempt: LiveAttempt, stats: StageStats) -> None:
         """
@@ -51,7 +51,7 @@
         sent there; by then many more would have followed them.
         """
         load = self._loads.find(attempt.endpoint)
-        usual_s = stats.pace_beside_s(attempt.beside)
+        usual_s = stats.chunk_time_s(attempt.beside)
         heard_at = attempt.stream.heard_at
         # Before the first chunk it may as well wait in a queue that nobody knew of.
         if load is None or usual_s <= 0 or not heard_at:
@@ -72,13 +72,13 @@
         after longer than nearly any whole run is taken to be stuck: its engine
         stands still, and half of the deadline goes by before its sidecar says so.
         """
-        usual_s = stats.pace_beside_s(attempt.beside)
+        usual_s = stats.chunk_time_s(attempt.beside)
         stream = attempt.stream
         done_s = stream.chunks * usual_s
         left_s = end - now
         if not stream.heard_at:
             silent_s = now - attempt.sent_at - attempt.wait_s
-            if stats.known and silent_s > STUCK_FACTOR * stats.slow_s:
+            if stats.known and silent_s > STUCK_FACTOR * stats.p99_s:
                 return 1.0
             return _tail_after(stats, done_s, left_s)
         quiet_s = now - stream.heard_at
@@ -91,7 +91,7 @@
     ) -> float:
         """Return the probability that the rest of a stream ends late elsewhere."""
         stats = self._times.of(request.current)
-        done_s = request.chunks * stats.pace_beside_s(choice.beside)
+        done_s = request.chunks * stats.chunk_time_s(choice.beside)
         slowness = choice.run_s / stats.mean_s
         left_s = (end - now - choice.before_s) / slowness
         load = self._loads.find(choice.endpoint.id)
--- a/packages/policy/src/amaranthtally/policy/weighing.py
+++ b/packages/policy/src/amaranthtally/policy/weighing.py
@@ -102,19 +102,19 @@
         occupancy = load.occupancy(now)
         beside = load.beside(occupancy)
         slowness = load.slowness(now)
-        run = stats.mean_beside_s(beside) * slowness
+        run = stats.loaded_mean_s(beside) * slowness
         if cached:
             run *= stats.cached_factor(cached)
         before = self._prices.round_trip_s(region)
         if occupancy + 1 > load.limit:
-            full = stats.mean_beside_s(load.limit - 1) * slowness
+            full = stats.loaded_mean_s(load.limit - 1) * slowness
             before += load.wait_s(occupancy, full)
         # The sketch holds runs beside the usual number of calls: a run that is
         # predicted to be longer or shorter shifts it.
         shift = run / self._mean_s
         late = stats.tail((self._until_end - before) / shift)
         risk = 1.0 - (1.0 - late) * (1.0 - load.failing(now))
-        price = self._price(region, run + stats.burden_s(beside))
+        price = self._price(region, run + stats.added_delay_s(beside))
         score = (
             self._weight * risk
             + (1.0 - self._weight) * price
--- a/packages/simulator/src/amaranthtally/simulator/call_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/call_mechanisms.py
@@ -8,9 +8,9 @@
 from amaranthtally.policy.actions import CallFacts
 from amaranthtally.policy.batcher import LINGER_S, Batcher
 from amaranthtally.policy.call_filling import CallFill, Shortage
-from amaranthtally.policy.piece_queue import Waiting, as_many
+from amaranthtally.policy.piece_queue import QueuedPiece, take_fitting
 from amaranthtally.policy.piece_servers import PieceServer
-from amaranthtally.policy.place_queue import PlaceQueue
+from amaranthtally.policy.site_queue import SiteQueue
 from amaranthtally.simulator.variants import (
     of_batcher,
     of_server,
@@ -27,13 +27,13 @@
 
 
 def fill_by_piece(
-    now: float, queue: list[Waiting], limits: PieceLimits, memory_bytes: float
+    now: float, queue: list[QueuedPiece], limits: PieceLimits, memory_bytes: float
 ) -> CallFill:
     """Fill a call with the most urgent pieces, of whichever requests."""
     ranked = sorted(queue, key=lambda waiting: waiting.urgency(now, limits.share_s))
-    chosen = tuple(as_many(ranked, limits.batch, memory_bytes))
+    chosen = tuple(take_fitting(ranked, limits.batch, memory_bytes))
     is_full = len(chosen) == limits.batch
-    shortage = Shortage.NOTHING if is_full else Shortage.WORK
+    shortage = Shortage.NONE if is_full else Shortage.WORK
     facts = CallFacts(limits.batch, len(queue), 0.0, memory_bytes, shortage.value)
     return CallFill(chosen, facts)
 
@@ -45,7 +45,7 @@
 class WithoutSparing(Batcher):
     """Refuses late requests early whether or not something was made of them."""
 
-    def _take_crowded_out(self, now: float, queue: PlaceQueue) -> list[Waiting]:
+    def _take_crowded_out(self, now: float, queue: SiteQueue) -> list[QueuedPiece]:
         return queue.take(lambda waiting: now > waiting.ask.start_by)
 
 
@@ -53,7 +53,7 @@
 class WithoutEarlyRefusal(Batcher):
     """Keeps late requests to the end of their time."""
 
-    def _take_crowded_out(self, now: float, queue: PlaceQueue) -> list[Waiting]:
+    def _take_crowded_out(self, now: float, queue: SiteQueue) -> list[QueuedPiece]:
         return []
 
 
@@ -93,7 +93,7 @@
 class WithoutEarlyFreeing(PieceServer):
     """Takes an endpoint to have other callers, so that no input is freed early."""
 
-    def is_alone(self, now: float) -> bool:
+    def is_only_caller(self, now: float) -> bool:
         """Return that a call may wait."""
         return False
 
@@ -110,6 +110,6 @@
 class UnboundedMemory(PieceServer):
     """Takes an endpoint to have memory for whatever comes."""
 
-    def room_bytes(self, now: float) -> float:
+    def free_bytes(self, now: float) -> float:
         """Return that there is no bound."""
         return inf
--- a/packages/simulator/src/amaranthtally/simulator/entries.py
+++ b/packages/simulator/src/amaranthtally/simulator/entries.py
@@ -182,12 +182,14 @@
 
     def _check_peers(self) -> None:
         now = self.clock.now
-        for name in sorted(self.planner.asked_peers | self.planner.shut_peers(now)):
+        for name in sorted(
+            self.planner.awaited_peers | self.planner.unavailable_peers(now)
+        ):
             peer = self._world.peer(name)
             if peer is not None and not peer.is_frozen and self.reaches(peer.place):
                 if not peer.leaving:
-                    self._carry_out(self.planner.peer_back(now, name))
-            elif name in self.planner.asked_peers:
+                    self._carry_out(self.planner.peer_recovered(now, name))
+            elif name in self.planner.awaited_peers:
                 self._peer_failed(name)
         self.later(CHECK_S, self._check_peers)
 
--- a/packages/simulator/src/amaranthtally/simulator/memberships.py
+++ b/packages/simulator/src/amaranthtally/simulator/memberships.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from amaranthtally.policy import Gatherer, Peer, PolicySettings
+from amaranthtally.policy import Peer, PieceCoordinator, PolicySettings
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.entries import Entry
 
@@ -23,7 +23,7 @@
     """An entry, and the part of its planner that has pieces made."""
 
     entry: Entry
-    gatherer: Gatherer
+    coordinator: PieceCoordinator
 
 
 class Membership:
--- a/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
@@ -4,7 +4,7 @@
 
 from amaranthtally.policy import Endpoint
 from amaranthtally.policy.piece_graph import PieceGraph
-from amaranthtally.policy.places import NOTHING_READ, Places
+from amaranthtally.policy.pool_sites import NO_SAVED_BYTES, PoolSites
 from amaranthtally.policy.stage_plans import StagePlans
 from amaranthtally.simulator.variants import of_places, of_plans, without
 
@@ -12,7 +12,7 @@
 
 
 @without("owners", of_places)
-class WithoutOwners(Places):
+class WithoutOwners(PoolSites):
     """Calls every endpoint itself, whatever the other entries do."""
 
     def owner(self, now: float, pool: str, data_centre: str) -> str:
@@ -24,7 +24,7 @@
 class FirstStagePlace(StagePlans):
     """Leaves a request where its first stage ran."""
 
-    def place_of(
+    def choose_data_centre(
         self,
         now: float,
         graph: PieceGraph,
@@ -37,28 +37,28 @@
         inputs = graph.inputs_of_stage(stage)
         if inputs:
             return inputs[0].data_centre
-        return super().place_of(now, graph, stage, reader, on_time_by, rank)
+        return super().choose_data_centre(now, graph, stage, reader, on_time_by, rank)
 
 
 @without("weight of crossing", of_places)
-class WithoutCrossing(Places):
+class WithoutCrossing(PoolSites):
     """Takes no account of where results are read."""
 
-    def best(
+    def best_data_centre(
         self,
         now: float,
         pool: str,
         candidates: Mapping[str, Endpoint],
-        reading: Mapping[str, float] = NOTHING_READ,
+        saved_bytes: Mapping[str, float] = NO_SAVED_BYTES,
         spare_s: float = 0.0,
         rank: int = 0,
     ) -> str | None:
         """Return the data centre in which pieces wait least."""
-        return super().best(now, pool, candidates, rank=rank)
+        return super().best_data_centre(now, pool, candidates, rank=rank)
 
 
 @without("doubts about peers", of_places)
-class WithoutDoubts(Places):
+class WithoutDoubts(PoolSites):
     """Goes on to ask peers that did not answer."""
 
     def peer_failed(self, now: float, peer: str) -> None:
@@ -66,23 +66,23 @@
 
 
 @without("waits by rank", of_places)
-class WaitsWithoutRank(Places):
+class WaitsWithoutRank(PoolSites):
     """Knows one wait of a place for all ranks."""
 
-    def heard(
+    def update_wait(
         self,
         now: float,
         pool: str,
         data_centre: str,
         wait_s: float,
-        slower_s: float = 0.0,
+        slowdown_s: float = 0.0,
         rank: int = 0,
     ) -> None:
         """Learn a wait as if it were that of every rank."""
-        super().heard(now, pool, data_centre, wait_s, slower_s)
+        super().update_wait(now, pool, data_centre, wait_s, slowdown_s)
 
-    def asked(
+    def note_submitted(
         self, now: float, pool: str, data_centre: str, more_s: float, rank: int = 0
     ) -> None:
         """Count what was asked for in any rank."""
-        super().asked(now, pool, data_centre, more_s)
+        super().note_submitted(now, pool, data_centre, more_s)
--- a/packages/simulator/src/amaranthtally/simulator/promises.py
+++ b/packages/simulator/src/amaranthtally/simulator/promises.py
@@ -55,8 +55,8 @@
         for pool in world.deployment.piece_pools:
             for place in world.deployment.data_centres:
                 owners = {
-                    gatherer.owner(now, pool.name, place.name) or entry.name
-                    for entry, gatherer in world.entries.taking()
+                    coordinator.owner(now, pool.name, place.name) or entry.name
+                    for entry, coordinator in world.entries.taking()
                 }
                 if len(owners) > 1:
                     at = f"{pool.name} in {place.name}"
--- a/packages/simulator/src/amaranthtally/simulator/stage_servers.py
+++ b/packages/simulator/src/amaranthtally/simulator/stage_servers.py
@@ -149,7 +149,7 @@
         if piece.deadline <= now:
             return PieceOutcome(fault=PieceFault.LATE)
         if not self._results.all_kept(piece.inputs):
-            return PieceOutcome(fault=PieceFault.INPUT_GONE)
+            return PieceOutcome(fault=PieceFault.INPUT_MISSING)
         used = sum(one.size_bytes for one in self._held.values())
         if used + size_bytes > self._pool.memory_bytes:
             return PieceOutcome(fault=PieceFault.NO_ROOM)
--- a/packages/simulator/src/amaranthtally/simulator/variants.py
+++ b/packages/simulator/src/amaranthtally/simulator/variants.py
@@ -8,8 +8,8 @@
     GATEWAY_PARTS,
     Arrival,
     Endpoint,
-    Gatherer,
     Parts,
+    PieceCoordinator,
     PieceLimits,
     PolicySettings,
 )
@@ -17,7 +17,7 @@
 from amaranthtally.policy.ejection import Ejections
 from amaranthtally.policy.parts import BuildInputs, BuildRouter
 from amaranthtally.policy.piece_servers import PieceServer, PieceServers
-from amaranthtally.policy.places import Places
+from amaranthtally.policy.pool_sites import PoolSites
 from amaranthtally.policy.stage_plans import StagePlans
 
 __all__ = [
@@ -89,7 +89,7 @@
 
 def of_batcher(build: Callable[[], Batcher]) -> Variant:
     """Return the policy with other calls with pieces."""
-    return _of_gatherer(lambda: Gatherer(build()))
+    return _of_coordinator(lambda: PieceCoordinator(build()))
 
 
 def of_server(build: Callable[[Endpoint, PieceLimits], PieceServer]) -> Variant:
@@ -97,14 +97,14 @@
     return of_batcher(lambda: Batcher(PieceServers(build)))
 
 
-def of_places(build: Callable[[], Places]) -> Variant:
+def of_places(build: Callable[[], PoolSites]) -> Variant:
     """Return the policy with other owners or waits of places."""
-    return _of_gatherer(lambda: Gatherer(places=build()))
+    return _of_coordinator(lambda: PieceCoordinator(places=build()))
 
 
-def of_plans(build: Callable[[Places, Batcher], StagePlans]) -> Variant:
+def of_plans(build: Callable[[PoolSites, Batcher], StagePlans]) -> Variant:
     """Return the policy with other plans of stages."""
-    return _of_gatherer(lambda: Gatherer(build_plans=build))
+    return _of_coordinator(lambda: PieceCoordinator(build_plans=build))
 
 
 def of_inputs(build: BuildInputs) -> Variant:
@@ -132,5 +132,5 @@
     return Variant(adapt_arrival=adapt)
 
 
-def _of_gatherer(build: Callable[[], Gatherer]) -> Variant:
-    return Variant(parts=replace(GATEWAY_PARTS, gatherer=build))
+def _of_coordinator(build: Callable[[], PieceCoordinator]) -> Variant:
+    return Variant(parts=replace(GATEWAY_PARTS, coordinator=build))
--- a/packages/simulator/src/amaranthtally/simulator/world.py
+++ b/packages/simulator/src/amaranthtally/simulator/world.py
@@ -7,7 +7,7 @@
 from amaranthtally.policy import (
     Arrival,
     Endpoint,
-    Gatherer,
+    PieceCoordinator,
     Planner,
     PolicySettings,
     Refuse,
@@ -140,16 +140,18 @@
 
     def _start_entry(self, name: str, place: str) -> Member:
         self._starts += 1
-        built: list[Gatherer] = []
+        built: list[PieceCoordinator] = []
         parts = self._variant.parts
 
-        def build_gatherer() -> Gatherer:
-            built.append(parts.gatherer())
+        def build_coordinator() -> PieceCoordinator:
+            built.append(parts.coordinator())
             return built[-1]
 
         random = Random(f"{self._seed}/{name}/{self._starts}")
         settings = self._settings(name, place)
-        planner = Planner(settings, random, replace(parts, gatherer=build_gatherer))
+        planner = Planner(
+            settings, random, replace(parts, coordinator=build_coordinator)
+        )
         return Member(Entry(name, place, planner, self), built[0])
 
     # Endpoints
--- a/packages/wire/src/amaranthtally/wire/gateway_codec.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_codec.py
@@ -9,9 +9,9 @@
 
 from amaranthtally.policy import (
     Piece,
-    PieceAsk,
     PieceFault,
-    PieceTold,
+    PieceJob,
+    PieceReport,
     StoredResult,
 )
 from amaranthtally.wire.documents import Document, DocumentPart, PartRequest
@@ -43,7 +43,7 @@
 _FAULTS = {
     None: "none",
     PieceFault.LATE: "late",
-    PieceFault.INPUT_GONE: "inputGone",
+    PieceFault.INPUT_MISSING: "inputGone",
     PieceFault.NO_ROOM: "noRoom",
     PieceFault.FAILED: "failed",
     PieceFault.HANDED_BACK: "handedBack",
@@ -73,10 +73,10 @@
 # Pieces
 
 
-def write_asks(target: Any, asks: Iterable[PieceAsk], now: float) -> None:
+def write_asks(target: Any, asks: Iterable[PieceJob], now: float) -> None:
     """Fill the pieces of an ``ask``, those of one stage of a request together."""
     groups = _grouped(
-        asks, lambda ask: (ask.piece[:2], ask.inputs, ask.data_centre, ask.is_begun)
+        asks, lambda ask: (ask.piece[:2], ask.inputs, ask.data_centre, ask.is_started)
     )
     for item, group in zip(target.init("asks", len(groups)), groups, strict=True):
         first = group[0]
@@ -92,15 +92,15 @@
         item.key = first.key
         _write_results(item.init("inputs", len(first.inputs)), first.inputs)
         item.siblings = first.siblings
-        item.isBegun = first.is_begun
+        item.isBegun = first.is_started
 
 
-def read_asks(source: Any, now: float) -> tuple[PieceAsk, ...]:
+def read_asks(source: Any, now: float) -> tuple[PieceJob, ...]:
     """Return the pieces of an ``ask``, with time stamps of this process."""
-    asks: list[PieceAsk] = []
+    asks: list[PieceJob] = []
     for item in source:
         request_id, stage = item.requestId, item.stage
-        first = PieceAsk(
+        first = PieceJob(
             piece=Piece(request_id, stage, 0),
             pool=item.pool,
             data_centre=item.dataCentre,
@@ -111,7 +111,7 @@
             key=item.key,
             inputs=read_results(item.inputs),
             siblings=item.siblings,
-            is_begun=item.isBegun,
+            is_started=item.isBegun,
         )
         asks += [
             replace(first, piece=Piece(request_id, stage, number))
@@ -120,7 +120,7 @@
     return tuple(asks)
 
 
-def write_told(target: Any, told: Iterable[PieceTold]) -> None:
+def write_told(target: Any, told: Iterable[PieceReport]) -> None:
     """Fill the pieces of a ``tell``, those of one stage of a request together."""
     groups = _grouped(told, lambda one: (one.piece[:2], one[1:4], one.inputs_freed))
     for item, group in zip(target.init("told", len(groups)), groups, strict=True):
@@ -131,7 +131,7 @@
         item.dataCentre = first.data_centre
         item.endpoint = first.endpoint
         item.waitMicros = _micros(first.wait_s)
-        item.slowerMicros = _micros(first.slower_s)
+        item.slowerMicros = _micros(first.slowdown_s)
         item.inputsFreed = first.inputs_freed
         outcomes = item.init("outcomes", len(group))
         for outcome, one in zip(outcomes, group, strict=True):
@@ -140,10 +140,10 @@
             outcome.fault = _FAULTS[one.fault]
 
 
-def read_told(source: Any) -> tuple[PieceTold, ...]:
+def read_told(source: Any) -> tuple[PieceReport, ...]:
     """Return the pieces of a ``tell``."""
     return tuple(
-        PieceTold(
+        PieceReport(
             piece=Piece(item.requestId, item.stage, outcome.number),
             pool=item.pool,
             data_centre=item.dataCentre,
@@ -151,7 +151,7 @@
             handle=outcome.handle,
             fault=_FAULTS_BY_NAME[str(outcome.fault)],
             wait_s=item.waitMicros / MICROSECONDS,
-            slower_s=item.slowerMicros / MICROSECONDS,
+            slowdown_s=item.slowerMicros / MICROSECONDS,
             inputs_freed=item.inputsFreed,
         )
         for item in source
--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -7,7 +7,7 @@
 
 import capnp
 
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire.documents import DocumentPart, PartRequest
 from amaranthtally.wire.errors import PeerLostError
 from amaranthtally.wire.gateway_codec import (
@@ -40,10 +40,10 @@
     def part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
 
-    def asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def asked(self, asker: str, asks: Sequence[PieceJob]) -> None:
         """Take pieces that a peer wants made."""
 
-    def told(self, told: Sequence[PieceTold]) -> None:
+    def told(self, told: Sequence[PieceReport]) -> None:
         """Hear what became of pieces."""
 
     def freed(self, results: Sequence[StoredResult], ended: str) -> None:
@@ -88,14 +88,14 @@
         write_part_request(sent, request)
         return read_part(await self._send(sent))
 
-    async def ask(self, asker: str, asks: Sequence[PieceAsk], now: float) -> None:
+    async def ask(self, asker: str, asks: Sequence[PieceJob], now: float) -> None:
         """Ask for pieces."""
         request = self._gateway.ask_request()
         request.asker = asker
         write_asks(request, asks, now)
         await self._send(request)
 
-    async def tell(self, told: Sequence[PieceTold]) -> None:
+    async def tell(self, told: Sequence[PieceReport]) -> None:
         """Tell what became of pieces."""
         request = self._gateway.tell_request()
         write_told(request, told)
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -253,7 +253,7 @@
     body = b'{"entries":[{"handle":"h"},{"reason":"gone"}]}'
     outcomes = pieces.read_outcomes(body, PIECES).unwrap()
     assert outcomes[0].handle == "h"
-    assert outcomes[1].fault is PieceFault.INPUT_GONE
+    assert outcomes[1].fault is PieceFault.INPUT_MISSING
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"entries":[{"handle":"h"}]}', b"\xff"])
--- a/tests/policy/pieces.py
+++ b/tests/policy/pieces.py
@@ -4,7 +4,7 @@
     Endpoint,
     FreeResults,
     Piece,
-    PieceAsk,
+    PieceJob,
     PieceLimits,
     PieceOutcome,
     PiecesEnded,
@@ -53,7 +53,7 @@
 def ask(request_id, number=0, *, pool="catalogue", place=CLUJ, stage=0, **options):
     """Return a piece that is asked for, on time until 10 and wanted until 20."""
     options = {"result_bytes": 1.5e6, "start_by": 10.0, "deadline": 20.0} | options
-    return PieceAsk(Piece(request_id, stage, number), pool, place, **options)
+    return PieceJob(Piece(request_id, stage, number), pool, place, **options)
 
 
 def calls(actions):
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -197,7 +197,7 @@
     """Three stages were made for requests that the last one then refused as late."""
     late = {"start_by": NOW - 0.1}
     send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
-    begun = ask("begun", is_begun=True, **late)
+    begun = ask("begun", is_started=True, **late)
     on_time = [ask(f"r{n}") for n in range(9)]
     told = batcher.take(NOW + 0.1, [begun, ask("new", **late), *on_time]).told
     assert {one.piece.request_id for one in told[""]} == {"new"}
@@ -349,7 +349,7 @@
     assert batcher.tick(LATER + 0.1).read == [INPUT]
     outcomes = (PieceOutcome("h"), PieceOutcome(fault=PieceFault.NO_ROOM))
     batches = batcher.ended(LATER + 0.3, call.call, PiecesEnded(outcomes))
-    assert [t.fault for t in batches.told[""]] == [None, PieceFault.INPUT_GONE]
+    assert [t.fault for t in batches.told[""]] == [None, PieceFault.INPUT_MISSING]
 
 
 def test_an_endpoint_that_became_slow_is_predicted_to_stay_so(batcher):
@@ -366,8 +366,8 @@
         batcher.free(
             now, [StoredResult(f"{call.endpoint}/{name}.0.0", call.endpoint, CLUJ, 0)]
         )
-    assert batcher.slower_s(now, "catalogue", CLUJ) > 2.0 * CATALOGUE.full_call_s()
-    assert batcher.slower_s(now + 60.0, "catalogue", CLUJ) == 0.0
+    assert batcher.slowdown_s(now, "catalogue", CLUJ) > 2.0 * CATALOGUE.full_call_s()
+    assert batcher.slowdown_s(now + 60.0, "catalogue", CLUJ) == 0.0
 
 
 def test_a_slow_endpoint_is_given_the_time_that_it_takes(batcher):
--- a/tests/policy/test_gathering.py
+++ b/tests/policy/test_piece_coordinator.py
@@ -6,11 +6,11 @@
     AskPeer,
     FreeAtPeer,
     FreeResults,
-    Gatherer,
     Peer,
+    PieceCoordinator,
     PieceFault,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
     TellPeer,
 )
 from tests.policy.pieces import (
@@ -31,8 +31,8 @@
 OTHERS = tuple(Peer(f"other-{n}", IASI) for n in range(2))
 
 
-def gatherer(peers=(), place=CLUJ, name="own", at=(CLUJ, IASI)):
-    found = Gatherer()
+def coordinator(peers=(), place=CLUJ, name="own", at=(CLUJ, IASI)):
+    found = PieceCoordinator()
     found.configure(name, place, place, endpoints(*at), POOLS)
     found.replace_peers(peers)
     return found
@@ -53,11 +53,11 @@
 
 
 def told(ask, handle="h", fault=None):
-    return PieceTold(ask.piece, ask.pool, ask.data_centre, "e", handle, fault, 0.0)
+    return PieceReport(ask.piece, ask.pool, ask.data_centre, "e", handle, fault, 0.0)
 
 
 def test_a_request_goes_through_its_stages_and_its_results_are_freed():
-    found = gatherer()
+    found = coordinator()
     now = NOW
     news = begin(found, stages=LOOKUP, counts=(1, 6, 10))
     seen = []
@@ -65,7 +65,7 @@
         (call,) = sent(found, news, now)
         seen.append((call.endpoint, len(call.pieces)))
         now += 0.4
-        news = found.calls_ended(now, call.call, made(call))
+        news = found.call_ended(now, call.call, made(call))
     assert seen == [
         ("catalogue-cluj-a", 1),
         ("roster-cluj-a", 6),
@@ -82,32 +82,32 @@
     millisecond. Eight requests of one call were done with their inputs at once, and
     each freed its own.
     """
-    found = gatherer(at=(CLUJ,))
+    found = coordinator(at=(CLUJ,))
     for number in range(4):
         begin(found, f"r{number}", stages=LOOKUP, counts=(1, 1, 1))
     (first,) = sent(found, found.tick(NOW), NOW)
-    news = found.calls_ended(NOW + 0.3, first.call, made(first))
+    news = found.call_ended(NOW + 0.3, first.call, made(first))
     (second,) = sent(found, news, NOW + 0.3)
     assert len(second.pieces) == 4
-    news = found.calls_ended(NOW + 0.6, second.call, made(second))
+    news = found.call_ended(NOW + 0.6, second.call, made(second))
     frees = [action for action in news.actions if isinstance(action, FreeResults)]
     assert [len(free.handles) for free in frees] == [4]
 
 
 def test_a_request_without_pieces_is_ready_at_once():
-    assert begin(gatherer(), counts=(0,)).ready == ["r"]
+    assert begin(coordinator(), counts=(0,)).ready == ["r"]
 
 
 def test_pieces_are_made_where_their_reader_stands_unless_one_waits_long_there():
-    found = gatherer()
+    found = coordinator()
     (call,) = sent(found, begin(found, reader=IASI), NOW)
     assert call.endpoint == "catalogue-iasi-a"
 
 
 def test_a_piece_whose_call_was_lost_is_made_elsewhere():
-    found = gatherer()
+    found = coordinator()
     (first,) = sent(found, begin(found), NOW)
-    news = found.calls_ended(NOW + 1.0, first.call, PiecesEnded())
+    news = found.call_ended(NOW + 1.0, first.call, PiecesEnded())
     (second,) = sent(found, news, NOW + 1.0)
     assert (first.endpoint, second.endpoint) == (
         "catalogue-cluj-a",
@@ -119,13 +119,13 @@
     """
     A request goes round for ever where a stage fails whatever is sent.
     """
-    found = gatherer()
+    found = coordinator()
     news = begin(found)
     now = NOW
     for _ in range(10):
         for call in sent(found, news, now):
             now += 1.0
-            news = found.calls_ended(now, call.call, PiecesEnded())
+            news = found.call_ended(now, call.call, PiecesEnded())
         if news.failed:
             break
         now += 1.0
@@ -133,20 +133,20 @@
 
 
 def test_a_request_of_which_nothing_can_be_made_fails_at_once():
-    assert begin(gatherer(at=())).failed == ["r"]
+    assert begin(coordinator(at=())).failed == ["r"]
 
 
 def test_a_request_whose_pieces_can_no_longer_be_in_time_is_refused_at_once():
-    news = begin(gatherer(), deadline=NOW + 0.1)
+    news = begin(coordinator(), deadline=NOW + 0.1)
     assert news.late == ["r"]
     assert calls(news.actions) == []
 
 
 def test_a_lost_result_of_the_request_is_made_again():
-    found = gatherer()
+    found = coordinator()
     (call,) = sent(found, begin(found), NOW)
-    assert found.calls_ended(NOW + 0.3, call.call, made(call)).ready == ["r"]
-    news = found.begin_again(NOW + 0.5, "r")
+    assert found.call_ended(NOW + 0.3, call.call, made(call)).ready == ["r"]
+    news = found.recompute_inputs(NOW + 0.5, "r")
     assert freed(news.actions) == {p.handle for p in ()} | {
         "catalogue-cluj-a/r.0.0",
         "catalogue-cluj-a/r.0.1",
@@ -161,7 +161,7 @@
 @pytest.fixture
 def asking():
     """An entry whose pieces at Iasi are made by another one."""
-    return gatherer(peers=OTHERS)
+    return coordinator(peers=OTHERS)
 
 
 def ask_other(found, request_id="r"):
@@ -173,15 +173,15 @@
     order = ask_other(asking)
     assert order.peer in {peer.name for peer in OTHERS}
     assert len(order.asks) == 2
-    news = asking.told(NOW + 0.4, [told(ask) for ask in order.asks])
+    news = asking.take_reports(NOW + 0.4, [told(ask) for ask in order.asks])
     assert news.ready == ["r"]
 
 
 def test_an_entry_makes_what_another_asks_for_and_tells_it():
-    theirs = ask_other(gatherer(peers=OTHERS))
-    found = gatherer(place=IASI, name=theirs.peer)
-    (call,) = sent(found, found.asked(NOW, "own", theirs.asks), NOW)
-    news = found.calls_ended(NOW + 0.3, call.call, made(call))
+    theirs = ask_other(coordinator(peers=OTHERS))
+    found = coordinator(place=IASI, name=theirs.peer)
+    (call,) = sent(found, found.accept_jobs(NOW, "own", theirs.asks), NOW)
+    news = found.call_ended(NOW + 0.3, call.call, made(call))
     (word,) = [action for action in news.actions if isinstance(action, TellPeer)]
     assert word.peer == "own"
     assert [one.handle for one in word.told] == [
@@ -215,10 +215,10 @@
 def test_what_a_leaving_peer_hands_back_is_no_failure(asking):
     order = ask_other(asking)
     words = [told(ask, "", PieceFault.HANDED_BACK) for ask in order.asks]
-    news = asking.told(NOW + 0.1, words)
+    news = asking.take_reports(NOW + 0.1, words)
     assert {a.peer for a in asked(news)} == {p.name for p in OTHERS} - {order.peer}
     for _ in range(10):
-        news = asking.told(NOW + 0.1, words)
+        news = asking.take_reports(NOW + 0.1, words)
         assert news.failed == []
 
 
@@ -227,10 +227,10 @@
     Pieces are asked of an entry that stops, as word of it is still on the way. They
     waited there to the end of its process, and were lost with it.
     """
-    theirs = ask_other(gatherer(peers=OTHERS))
-    found = gatherer(peers=OTHERS, place=IASI, name=theirs.peer)
+    theirs = ask_other(coordinator(peers=OTHERS))
+    found = coordinator(peers=OTHERS, place=IASI, name=theirs.peer)
     found.leave(NOW)
-    (word,) = found.asked(NOW, "own", theirs.asks).actions
+    (word,) = found.accept_jobs(NOW, "own", theirs.asks).actions
     assert (word.peer, {one.fault for one in word.told}) == (
         "own",
         {PieceFault.HANDED_BACK},
@@ -248,15 +248,15 @@
     words = [
         told(ask, "late")._replace(endpoint="catalogue-iasi-a") for ask in order.asks
     ]
-    frees = asking.told(NOW + 1.0, words).actions
+    frees = asking.take_reports(NOW + 1.0, words).actions
     assert {r.handle for f in frees for r in f.results} == {"late"}
 
 
 def test_a_peer_drops_what_waits_for_a_request_that_has_ended():
-    theirs = ask_other(gatherer(peers=OTHERS))
-    found = gatherer(place=IASI, name=theirs.peer)
-    found.asked(NOW, "own", theirs.asks)
-    found.freed_by_peer(NOW, [], ended="r")
+    theirs = ask_other(coordinator(peers=OTHERS))
+    found = coordinator(place=IASI, name=theirs.peer)
+    found.accept_jobs(NOW, "own", theirs.asks)
+    found.free_for_peer(NOW, [], ended="r")
     assert calls(found.tick(NOW + 0.1).actions) == []
 
 
@@ -265,21 +265,21 @@
     Everybody leaves a data centre alone for seconds. Its owner had just been started
     anew, knew no endpoint yet, and said that the pieces had failed.
     """
-    theirs = ask_other(gatherer(peers=OTHERS))
-    (word,) = Gatherer().asked(NOW, "own", theirs.asks).actions
+    theirs = ask_other(coordinator(peers=OTHERS))
+    (word,) = PieceCoordinator().accept_jobs(NOW, "own", theirs.asks).actions
     assert {one.fault for one in word.told} == {PieceFault.HANDED_BACK}
 
 
 def calls_of_reply():
     """Make a request of two branches; return the calls that ran beside each other."""
-    found = gatherer(at=(CLUJ,))
+    found = coordinator(at=(CLUJ,))
     now = NOW
     news = begin(found, stages=REPLY, counts=(2, 1, 6, 10))
     rounds = []
     while not news.ready:
         rounds.append(sent(found, news, now))
         now += 0.4
-        ends = [found.calls_ended(now, call.call, made(call)) for call in rounds[-1]]
+        ends = [found.call_ended(now, call.call, made(call)) for call in rounds[-1]]
         news = ends[-1]
         for end in ends[:-1]:
             news.actions += end.actions
@@ -300,7 +300,7 @@
 
 def test_a_stage_larger_than_a_call_is_made_in_several_places():
     """Requests of more pieces than a call has places were never served."""
-    found = gatherer()
+    found = coordinator()
     made_at = [call.endpoint for call in sent(found, begin(found, counts=(9,)), NOW)]
     assert len(set(made_at)) == 2
 
@@ -312,6 +312,6 @@
 
 
 def test_a_branch_without_another_beside_it_is_made_at_once():
-    found = gatherer(at=(CLUJ,))
+    found = coordinator(at=(CLUJ,))
     (call,) = sent(found, begin(found, stages=REPLY, counts=(2, 0, 0, 0)), NOW)
     assert {p.stage for p in call.pieces} == {0}
--- a/tests/policy/test_piece_graph.py
+++ b/tests/policy/test_piece_graph.py
@@ -40,9 +40,9 @@
     graph = PieceGraph("r", LOOKUP, (1, 6, 10))
     (piece,) = graph.take_due()
     graph.started(piece)
-    assert not graph.is_begun
+    assert not graph.is_started
     graph.finished(piece, StoredResult("h", "e", "d", 8e3))
-    assert graph.is_begun
+    assert graph.is_started
 
 
 def test_a_stage_without_pieces_is_left_out():
--- a/tests/policy/test_places.py
+++ b/tests/policy/test_pool_sites.py
@@ -3,7 +3,7 @@
 import pytest
 
 from amaranthtally.policy import Peer
-from amaranthtally.policy.places import Places
+from amaranthtally.policy.pool_sites import PoolSites
 from tests.policy.pieces import CLUJ, IASI, endpoint
 
 PEERS = [Peer(f"entry-{place}-{n}", place) for place in (CLUJ, IASI) for n in range(3)]
@@ -11,7 +11,7 @@
 
 
 def places_of(peer, peers=PEERS):
-    found = Places()
+    found = PoolSites()
     found.configure(peer.name, peer.data_centre, peer.data_centre)
     found.replace_peers(peers)
     return found
@@ -55,9 +55,9 @@
     found = places_of(PEERS[5])
     owner = found.owner(NOW, "roster", CLUJ)
     found.peer_failed(NOW, owner)
-    assert found.shut_peers(NOW + 0.1) == {owner}
-    found.peer_back(owner)
-    assert found.shut_peers(NOW + 0.1) == frozenset()
+    assert found.unavailable_peers(NOW + 0.1) == {owner}
+    found.peer_recovered(owner)
+    assert found.unavailable_peers(NOW + 0.1) == frozenset()
     assert found.owner(NOW + 0.1, "roster", CLUJ) == owner
 
 
@@ -66,7 +66,7 @@
     owner = found.owner(NOW, "roster", CLUJ)
     found.peer_failed(NOW, owner)
     found.replace_peers([peer for peer in PEERS if peer.name != owner])
-    assert found.shut_peers(NOW + 0.1) == frozenset()
+    assert found.unavailable_peers(NOW + 0.1) == frozenset()
 
 
 def test_a_leaving_entry_owns_nothing():
@@ -93,9 +93,9 @@
 
 def test_pieces_run_near_unless_the_wait_is_longer():
     found = places_of(PEERS[0])
-    assert found.best(NOW, "roster", CANDIDATES) == CLUJ
-    found.heard(NOW, "roster", CLUJ, 1.0)
-    assert found.best(NOW, "roster", CANDIDATES) == IASI
+    assert found.best_data_centre(NOW, "roster", CANDIDATES) == CLUJ
+    found.update_wait(NOW, "roster", CLUJ, 1.0)
+    assert found.best_data_centre(NOW, "roster", CANDIDATES) == IASI
 
 
 def test_large_results_are_worth_a_wait_to_a_request_that_can_spare_it():
@@ -104,11 +104,13 @@
     to save their request a tenth of a second of a whole one that it had left.
     """
     found = places_of(PEERS[0])
-    found.heard(NOW, "roster", CLUJ, 0.2)
-    assert found.best(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 1.2) == CLUJ
-    assert found.best(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 0.2) == IASI
-    assert found.best(NOW, "roster", CANDIDATES, {CLUJ: 6e3}, 1.2) == IASI
-    assert found.best(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, -1.0) == IASI
+    found.update_wait(NOW, "roster", CLUJ, 0.2)
+    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 1.2) == CLUJ
+    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 0.2) == IASI
+    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 6e3}, 1.2) == IASI
+    assert (
+        found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, -1.0) == IASI
+    )
 
 
 def test_a_slow_place_is_left_to_others_after_its_queue_is_gone():
@@ -117,26 +119,26 @@
     were told as one wait, which had run out a second later.
     """
     found = places_of(PEERS[0])
-    found.heard(NOW, "roster", CLUJ, 0.3, 1.1)
-    assert found.best(NOW + 2.0, "roster", CANDIDATES) == IASI
-    assert found.best(NOW + 30.0, "roster", CANDIDATES) == CLUJ
+    found.update_wait(NOW, "roster", CLUJ, 0.3, 1.1)
+    assert found.best_data_centre(NOW + 2.0, "roster", CANDIDATES) == IASI
+    assert found.best_data_centre(NOW + 30.0, "roster", CANDIDATES) == CLUJ
 
 
 def test_waits_are_known_by_rank():
     """Urgent requests waited for one place beside another that let them pass."""
     found = places_of(PEERS[0])
-    found.heard(NOW, "roster", CLUJ, 2.0, rank=2)
-    assert found.best(NOW, "roster", CANDIDATES, rank=1) == CLUJ
-    assert found.best(NOW, "roster", CANDIDATES, rank=2) == IASI
-    found.heard(NOW, "roster", CLUJ, 1.0, rank=0)
+    found.update_wait(NOW, "roster", CLUJ, 2.0, rank=2)
+    assert found.best_data_centre(NOW, "roster", CANDIDATES, rank=1) == CLUJ
+    assert found.best_data_centre(NOW, "roster", CANDIDATES, rank=2) == IASI
+    found.update_wait(NOW, "roster", CLUJ, 1.0, rank=0)
     assert found.wait_s(NOW, "roster", CLUJ, 1) == 1.0
     assert found.wait_s(NOW, "roster", CLUJ, 2) == 2.0
 
 
 def test_what_an_urgent_request_asks_for_counts_for_the_less_urgent():
     found = places_of(PEERS[0])
-    found.heard(NOW, "roster", CLUJ, 0.2, rank=2)
-    found.asked(NOW, "roster", CLUJ, 0.5, rank=1)
+    found.update_wait(NOW, "roster", CLUJ, 0.2, rank=2)
+    found.note_submitted(NOW, "roster", CLUJ, 0.5, rank=1)
     assert found.wait_s(NOW, "roster", CLUJ, 0) == 0.0
     assert found.wait_s(NOW, "roster", CLUJ, 1) == 0.5
     assert found.wait_s(NOW, "roster", CLUJ, 2) == pytest.approx(0.7)
@@ -149,19 +151,19 @@
     """
     found = places_of(PEERS[0])
     for _ in range(20):
-        found.asked(NOW, "roster", CLUJ, 0.05)
-    assert found.best(NOW, "roster", CANDIDATES) == IASI
+        found.note_submitted(NOW, "roster", CLUJ, 0.05)
+    assert found.best_data_centre(NOW, "roster", CANDIDATES) == IASI
 
 
 def test_a_place_that_failed_is_left_alone_and_tried_again():
     found = places_of(PEERS[0])
     found.failed(NOW, "roster", CLUJ)
-    assert found.best(NOW + 0.1, "roster", CANDIDATES) == IASI
-    assert found.best(NOW + 5.0, "roster", CANDIDATES) == CLUJ
+    assert found.best_data_centre(NOW + 0.1, "roster", CANDIDATES) == IASI
+    assert found.best_data_centre(NOW + 5.0, "roster", CANDIDATES) == CLUJ
 
 
 def test_the_only_place_is_used_though_it_failed():
     found = places_of(PEERS[0])
     found.failed(NOW, "roster", CLUJ)
-    assert found.best(NOW, "roster", {CLUJ: CANDIDATES[CLUJ]}) == CLUJ
-    assert found.best(NOW, "roster", {}) is None
+    assert found.best_data_centre(NOW, "roster", {CLUJ: CANDIDATES[CLUJ]}) == CLUJ
+    assert found.best_data_centre(NOW, "roster", {}) is None
--- a/tests/policy/test_place_queue.py
+++ b/tests/policy/test_site_queue.py
@@ -2,8 +2,8 @@
 
 from hypothesis import given, strategies as st
 
-from amaranthtally.policy.piece_queue import Waiting
-from amaranthtally.policy.place_queue import PlaceQueue
+from amaranthtally.policy.piece_queue import QueuedPiece
+from amaranthtally.policy.site_queue import SiteQueue
 from tests.policy.pieces import ask
 
 TIMES = st.integers(0, 8).map(float)
@@ -35,9 +35,9 @@
         priority=draw(st.integers(0, 2)),
         start_by=start_by,
         deadline=start_by + draw(TIMES),
-        is_begun=draw(st.booleans()),
+        is_started=draw(st.booleans()),
     )
-    return Waiting(one, 0.0)
+    return QueuedPiece(one, 0.0)
 
 
 def left_of(pieces, gone):
@@ -48,7 +48,7 @@
     st.lists(waitings(), max_size=20), st.lists(TIMES, max_size=6), st.integers(0, 6)
 )
 def test_it_counts_and_takes_as_one_that_looks_at_each_piece(pieces, times, number):
-    queue = PlaceQueue()
+    queue = SiteQueue()
     for one in pieces:
         queue.add(one)
     left = list(pieces)
@@ -66,7 +66,7 @@
         left = left_of(left, late)
         crowded = queue.take_late_unbegun(now)
         assert crowded == [
-            one for one in left if now > one.ask.start_by and not one.ask.is_begun
+            one for one in left if now > one.ask.start_by and not one.ask.is_started
         ]
         left = left_of(left, crowded)
     name = f"r-{number}"
@@ -78,8 +78,10 @@
 
 def test_a_long_queue_costs_a_decision_no_more():
     """In a burst an entry's processor went into counting its queue at each decision."""
-    pieces = [Watched(Waiting(ask(f"r-{n}", start_by=5.0), 0.0)) for n in range(500)]
-    queue = PlaceQueue()
+    pieces = [
+        Watched(QueuedPiece(ask(f"r-{n}", start_by=5.0), 0.0)) for n in range(500)
+    ]
+    queue = SiteQueue()
     for one in pieces:
         queue.add(one)
     before = sum(one.looks for one in pieces)
