--- a/packages/policy/src/amaranthtally/policy/concurrency.py
+++ b/packages/policy/src/amaranthtally/policy/concurrency.py
@@ -1,40 +1,42 @@
-"""How many calls may run at an endpoint at once, adapted to what it bears."""
+"""Adaptive limit on the number of concurrent calls at an endpoint."""
 
 __all__ = ["AdaptiveLimit"]
 
-CUT = 0.7
-GROWTH = 0.5
+DECREASE_FACTOR = 0.7
+INCREASE_STEP = 0.5
 
 
 class AdaptiveLimit:
     """
-    A limit that is cut when calls fail and grows back as they finish.
-
-    The configured limit is the most. Run times say little: an engine that
-    batches runs each call longer as more run, and yet finishes more of them.
-    Failures that come together are one sign of overload, so a cut waits for the
-    calls that were running at the last one.
+    Concurrency limit with additive increase and multiplicative decrease.
+
+    The limit is multiplied by ``DECREASE_FACTOR`` when calls fail, grows by
+    ``INCREASE_STEP`` for each call that finishes, and never exceeds the configured
+    limit. Run times are no signal: an engine that batches calls takes longer for
+    each one as more run, yet finishes more of them in total. Failures that occur
+    together are a single sign of overload, so the limit is not reduced again until
+    a call fails that was started after the last reduction.
     """
 
-    __slots__ = ("_cut_at", "_limit", "_most")
+    __slots__ = ("_limit", "_max_limit", "_reduced_at")
 
-    def __init__(self, most: int) -> None:
-        self._most = float(most)
-        self._limit = float(most)
-        self._cut_at = float("-inf")
+    def __init__(self, max_limit: int) -> None:
+        self._max_limit = float(max_limit)
+        self._limit = float(max_limit)
+        self._reduced_at = float("-inf")
 
     @property
     def limit(self) -> int:
-        """Calls that may run at once; at least 1."""
+        """Number of calls that may run concurrently; at least 1."""
         return max(1, int(self._limit))
 
     def finished(self) -> None:
-        """Note a call that finished."""
-        self._limit = min(self._most, self._limit + GROWTH)
+        """Raise the limit after a successful call."""
+        self._limit = min(self._max_limit, self._limit + INCREASE_STEP)
 
     def failed(self, now: float, run_s: float) -> None:
-        """Note a call that failed after ``run_s`` seconds."""
-        if now - run_s < self._cut_at:
+        """Reduce the limit after a call that failed after ``run_s`` seconds."""
+        if now - run_s < self._reduced_at:
             return
-        self._cut_at = now
-        self._limit = max(1.0, self._limit * CUT)
+        self._reduced_at = now
+        self._limit = max(1.0, self._limit * DECREASE_FACTOR)
--- a/packages/policy/src/amaranthtally/policy/ejection.py
+++ b/packages/policy/src/amaranthtally/policy/ejection.py
@@ -1,19 +1,19 @@
-"""Endpoints that fail are ejected for a while, never all, and let back by probes."""
+"""Temporary ejection of failing endpoints, and the probes that readmit them."""
 
 from dataclasses import dataclass
 
 __all__ = ["Ejections"]
 
-STRIKES = 3
+FAILURES_TO_EJECT = 3
 FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 30.0
-LARGEST_SHARE = 0.5
+MAX_EJECTION_S = 30.0
+MAX_EJECTED_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class _Health:
     pool: str
-    strikes: int = 0
+    failures: int = 0
     ejections: int = 0
     until: float = 0.0
     ejected: bool = False
@@ -22,11 +22,12 @@
 
 class Ejections:
     """
-    Health of the endpoints that failed lately; others take no room.
+    Tracks failing endpoints and ejects those that fail repeatedly.
 
-    At most ``LARGEST_SHARE`` of a pool is ejected: when more of it fails, the
-    cause is common to all, and ejecting would move the whole load onto the few
-    endpoints that are left and bring them down too.
+    Only endpoints with recent failures take up memory. At most
+    ``MAX_EJECTED_SHARE`` of a pool is ejected: when more endpoints fail, they have
+    a common cause, and ejecting them would move the whole load to the few that
+    remain and overload these as well.
     """
 
     def __init__(self) -> None:
@@ -34,16 +35,16 @@
         self._ejected: dict[str, dict[str, None]] = {}
 
     def is_ejected(self, endpoint: str) -> bool:
-        """Whether an endpoint gets nothing but probes."""
+        """Whether an endpoint receives only probes."""
         health = self._health.get(endpoint)
         return health is not None and health.ejected
 
     def ejected(self, pool: str) -> list[str]:
-        """Return the ejected endpoints of a pool, oldest first."""
+        """Return the ejected endpoints of a pool, longest ejected first."""
         return list(self._ejected.get(pool, ()))
 
     def next_probe(self, now: float, pool: str) -> str | None:
-        """Return an endpoint that may be tried with one request, or ``None``."""
+        """Return an ejected endpoint that is due for a probe, or ``None``."""
         for endpoint in self._ejected.get(pool, ()):
             health = self._health[endpoint]
             if health.until <= now and not health.probing:
@@ -51,23 +52,23 @@
         return None
 
     def probe_sent(self, endpoint: str) -> None:
-        """Note that a probe is on its way: no second one until it ends."""
+        """Note that a probe is running; no other is sent until it ends."""
         health = self._health.get(endpoint)
         if health is not None and health.ejected:
             health.probing = True
 
     def probe_inconclusive(self, endpoint: str) -> None:
-        """Note that a probe ended without a verdict."""
+        """Note that a probe ended without showing whether the endpoint works."""
         health = self._health.get(endpoint)
         if health is not None:
             health.probing = False
 
     def succeeded(self, endpoint: str) -> None:
         """
-        Let an endpoint back, or forget its strikes.
+        Readmit an ejected endpoint, or reset the failures of another one.
 
-        One that is let back keeps all but one strike, so that a single failure
-        ejects it again, for twice as long.
+        A readmitted endpoint keeps all but one of its failures, so that a single
+        failure ejects it again, for twice as long.
         """
         health = self._health.get(endpoint)
         if health is None:
@@ -75,19 +76,19 @@
         if health.ejected:
             health.ejected = health.probing = False
             del self._ejected[health.pool][endpoint]
-            health.strikes = STRIKES - 1
+            health.failures = FAILURES_TO_EJECT - 1
             return
         del self._health[endpoint]
 
     def failed(self, now: float, endpoint: str, pool: str, pool_size: int) -> bool:
-        """Note a failure; true when it ejects the endpoint."""
+        """Count a failure; return whether it ejects the endpoint."""
         health = self._health.setdefault(endpoint, _Health(pool))
-        health.strikes += 1
+        health.failures += 1
         if health.ejected:
             if health.probing:
                 self._extend(now, health)
             return False
-        if health.strikes < STRIKES or not self._may_eject(pool, pool_size):
+        if health.failures < FAILURES_TO_EJECT or not self._may_eject(pool, pool_size):
             return False
         health.ejected = True
         self._ejected.setdefault(pool, {})[endpoint] = None
@@ -95,17 +96,17 @@
         return True
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an endpoint that is new or gone."""
+        """Discard the state of an endpoint that was removed or re-registered."""
         health = self._health.pop(endpoint, None)
         if health is not None and health.ejected:
             del self._ejected[health.pool][endpoint]
 
     def _may_eject(self, pool: str, pool_size: int) -> bool:
-        after = len(self._ejected.get(pool, ())) + 1
-        return after <= int(pool_size * LARGEST_SHARE)
+        ejected_after = len(self._ejected.get(pool, ())) + 1
+        return ejected_after <= int(pool_size * MAX_EJECTED_SHARE)
 
     def _extend(self, now: float, health: _Health) -> None:
-        seconds = FIRST_EJECTION_S * 2.0**health.ejections
-        health.until = now + min(LONGEST_EJECTION_S, seconds)
+        duration_s = FIRST_EJECTION_S * 2.0**health.ejections
+        health.until = now + min(MAX_EJECTION_S, duration_s)
         health.ejections = min(health.ejections + 1, 10)
         health.probing = False
--- a/packages/policy/src/amaranthtally/policy/endpoint_directory.py
+++ b/packages/policy/src/amaranthtally/policy/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""Which endpoints are registered, also while their register is away."""
+"""The registered endpoints, retained while the registry is unavailable."""
 
 from collections.abc import Iterable, Mapping
 from math import inf
@@ -7,76 +7,78 @@
 
 __all__ = ["EndpointDirectory"]
 
-# Endpoints that live have written their records again this long after the register's
-# return, in seconds; the users' platform says about two.
-RETURN_S = 2.0
+# Running endpoints register again within this time after the registry has become
+# available, in seconds; the users' platform specifies about two.
+REREGISTRATION_S = 2.0
 
 
 class EndpointDirectory:
     """
-    Endpoints by id, as their records say; times are time stamps in seconds.
-
-    The failure: records run out while the register is away, though their endpoints
-    live. Taken at its word on its return, it would name no endpoint at all for two
-    seconds, and every request would be refused. So an endpoint whose record is
-    missing just then is kept until ``RETURN_S`` later, and only then taken as gone.
+    Registered endpoints by id; times are time stamps in seconds.
+
+    Records expire while the registry is unavailable, although their endpoints are
+    running. If the registry's content were applied as soon as it is available
+    again, there would be no endpoint at all for two seconds and every request would
+    be refused. An endpoint whose record is missing during the first
+    ``REREGISTRATION_S`` is therefore retained, and removed at the end of this period
+    unless it has registered again.
     """
 
     def __init__(self) -> None:
         self._endpoints: dict[str, Endpoint] = {}
         self._missing: dict[str, float] = {}
-        self._lost = False
-        self._trusted_at = -inf
+        self._disconnected = False
+        self._grace_ends_at = -inf
 
     @property
     def endpoints(self) -> Mapping[str, Endpoint]:
-        """Registered endpoints; those that leave take no calls."""
+        """Registered and retained endpoints; leaving ones do not take calls."""
         return self._endpoints
 
     @property
     def missing(self) -> int:
-        """Endpoints that are kept although their record is missing."""
+        """Number of endpoints that are retained although their record is missing."""
         return len(self._missing)
 
     def connection_lost(self) -> None:
-        """Note that the register does not answer."""
-        self._lost = True
+        """Note that the registry does not respond."""
+        self._disconnected = True
 
     def connection_restored(self, now: float) -> None:
-        """Note that the register answers."""
-        if self._lost:
-            self._lost = False
-            self._trusted_at = now + RETURN_S
+        """Note that the registry responds; starts the grace period after an outage."""
+        if self._disconnected:
+            self._disconnected = False
+            self._grace_ends_at = now + REREGISTRATION_S
 
     def replace(self, now: float, records: Iterable[Endpoint]) -> None:
-        """Take the whole register, as it was read."""
-        found = {endpoint.id: endpoint for endpoint in records}
-        for name in [name for name in self._endpoints if name not in found]:
+        """Apply the complete content of the registry."""
+        registered = {endpoint.id: endpoint for endpoint in records}
+        for name in [name for name in self._endpoints if name not in registered]:
             self.record_removed(now, name)
-        for endpoint in found.values():
+        for endpoint in registered.values():
             self.put(endpoint)
 
     def put(self, endpoint: Endpoint) -> None:
-        """Take a new or changed record."""
+        """Add or replace an endpoint."""
         self._missing.pop(endpoint.id, None)
         self._endpoints = {**self._endpoints, endpoint.id: endpoint}
 
     def record_removed(self, now: float, name: str) -> None:
-        """Take word that a record is no longer there."""
+        """Remove an endpoint, or retain it until the end of the grace period."""
         if name not in self._endpoints:
             return
-        if now < self._trusted_at:
-            self._missing.setdefault(name, self._trusted_at)
+        if now < self._grace_ends_at:
+            self._missing.setdefault(name, self._grace_ends_at)
             return
-        self._drop(name)
+        self._remove(name)
 
     def expire(self, now: float) -> bool:
-        """Drop those whose records have not come back; whether there were any."""
-        due = [name for name, until in self._missing.items() if until <= now]
-        for name in due:
-            self._drop(name)
-        return bool(due)
+        """Remove retained endpoints whose time is over; return whether any was."""
+        expired = [name for name, until in self._missing.items() if until <= now]
+        for name in expired:
+            self._remove(name)
+        return bool(expired)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         self._missing.pop(name, None)
         self._endpoints = {k: v for k, v in self._endpoints.items() if k != name}
--- a/packages/policy/src/amaranthtally/policy/groups.py
+++ b/packages/policy/src/amaranthtally/policy/groups.py
@@ -1,4 +1,4 @@
-"""The endpoints that may run a stage, by region; a bounded subset for each entry."""
+"""The endpoints that may run a stage, as a bounded subset per region."""
 
 from collections.abc import Mapping
 from random import Random
@@ -15,12 +15,12 @@
 
 class EndpointGroups:
     """
-    Candidates of each pool and model, by region, built at first use.
+    Candidate endpoints of each pool and model by region, computed at first use.
 
-    An entry uses at most ``LOCAL_SUBSET_SIZE`` endpoints of a pool and model in its own
-    region and ``REMOTE_SUBSET_SIZE`` in any other, drawn at random: 750 entries before
-    11,000 endpoints would otherwise hold eight million connections. A subset
-    keeps its members when settings change.
+    An entry uses a random subset of the endpoints of a pool and model: at most
+    ``LOCAL_SUBSET_SIZE`` in its own region and ``REMOTE_SUBSET_SIZE`` in any other.
+    Without this bound, 750 entries and 11,000 endpoints would hold eight million
+    connections. Members of a subset stay in it when settings change.
     """
 
     def __init__(self, random: Random) -> None:
@@ -31,7 +31,7 @@
         self._groups: dict[tuple[str, str], EndpointsByRegion] = {}
 
     def replace(self, region: str, endpoints: Mapping[str, Endpoint]) -> bool:
-        """Use another home region and endpoints; false when nothing differs."""
+        """Set the entry's region and the endpoints; return whether either changed."""
         if endpoints == self._endpoints and region == self._region:
             return False
         self._region = region
@@ -50,10 +50,10 @@
     def candidates(self, stage: Stage) -> EndpointsByRegion:
         """Return a stage's candidates by region."""
         key = (stage.pool, stage.model)
-        found = self._groups.get(key)
-        if found is None:
-            found = self._groups[key] = self._build(key, set())
-        return found
+        regions = self._groups.get(key)
+        if regions is None:
+            regions = self._groups[key] = self._build(key, set())
+        return regions
 
     def find(self, endpoint: str) -> Endpoint | None:
         """Return a registered endpoint, or ``None``."""
@@ -62,20 +62,21 @@
     def _build(self, key: tuple[str, str], members: set[str]) -> EndpointsByRegion:
         pool, model = key
         regions: EndpointsByRegion = {}
-        for endpoint in self._meant_for(pool, model):
+        for endpoint in self._eligible(pool, model):
             regions.setdefault(endpoint.region, []).append(endpoint)
         return {
             region: self._subset(region, group, members)
             for region, group in regions.items()
         }
 
-    def _meant_for(self, pool: str, model: str) -> list[Endpoint]:
+    def _eligible(self, pool: str, model: str) -> list[Endpoint]:
         """
-        Return the endpoints that are to answer a model, or the whole pool.
+        Return the endpoints that are configured for a model, or else the whole pool.
 
-        A request that was accepted before the operators took its model off every
-        endpoint still has to end: whoever says that it has the model, or has said
-        nothing yet and will refuse truly where it has not, gets it.
+        A request must still complete if it was accepted before its model was removed
+        from the configuration of every endpoint. It is sent to an endpoint that
+        reports the model as loaded, or to one that has not reported yet, which
+        refuses the call if it does not have the model.
         """
         members = self._by_pool.get(pool, [])
         return [e for e in members if e.is_meant_for(model)] or members
--- a/packages/policy/src/amaranthtally/policy/load_poller.py
+++ b/packages/policy/src/amaranthtally/policy/load_poller.py
@@ -1,4 +1,4 @@
-"""Which endpoints are asked for their load, and how often."""
+"""Requests for the load of endpoints whose last load report is old."""
 
 from amaranthtally.policy.actions import Action, Greet
 from amaranthtally.policy.budgets import RateLimit
@@ -7,34 +7,35 @@
 
 __all__ = ["LoadPoller"]
 
-# Questions of one entry a second, and at once: an entry with 100 endpoints in use asks
-# each of them within five seconds.
-ASKS_PER_S = 20.0
-ASKS_BURST = 10.0
+# Rate and burst of load requests sent by one entry: an entry that uses 100 endpoints
+# polls each of them within five seconds.
+REQUESTS_PER_S = 20.0
+REQUEST_BURST = 10.0
 
 
 class LoadPoller:
     """
-    Asks candidates whose report is old for a new one, within a rate.
+    Polls candidates whose load report is old, within a rate limit.
 
-    Reports come with replies. An endpoint that looked crowded once gets no attempts, so
-    it sends no reports, and would look crowded ever after.
+    Load reports are sent with replies. Without polling, an endpoint that was once
+    reported as heavily loaded would receive no attempts, hence send no new report,
+    and would be avoided for ever.
     """
 
     def __init__(self, router: Router, loads: LoadTable) -> None:
         self._router = router
         self._loads = loads
-        self._rate = RateLimit(0.0, ASKS_PER_S, ASKS_BURST)
+        self._rate = RateLimit(0.0, REQUESTS_PER_S, REQUEST_BURST)
 
     def due_load_requests(self, now: float) -> list[Action]:
-        """Return the questions that are due."""
-        asked: list[Action] = []
+        """Return the load requests to send now."""
+        requests: list[Action] = []
         for endpoint in self._router.pop_stale_endpoints():
-            # Settings may have changed since the choice: nobody answers there now.
+            # The endpoint may have been removed since the routing decision.
             if self._loads.find(endpoint) is None:
                 continue
             if self._rate.wait_s(now) > 0:
                 break
             self._rate.take()
-            asked.append(Greet(endpoint))
-        return asked
+            requests.append(Greet(endpoint))
+        return requests
--- a/packages/policy/src/amaranthtally/policy/loads.py
+++ b/packages/policy/src/amaranthtally/policy/loads.py
@@ -1,4 +1,4 @@
-"""How loaded each endpoint is, from late reports and the entry's own attempts."""
+"""Load of each endpoint, estimated from late reports and the entry's own attempts."""
 
 from collections.abc import Callable
 from math import copysign, exp
@@ -10,42 +10,42 @@
 
 __all__ = ["EndpointLoad", "LoadTable", "PoolLoad"]
 
-UNHEARD_LIMIT = 4
+DEFAULT_LIMIT = 4
 SMOOTHING_S = 0.5
-DOUBT_SMOOTHING_S = 5.0
-SLOWNESS_WEIGHT = 0.1
-PACE_WEIGHT = 0.3
+STALE_SMOOTHING_S = 5.0
+RUN_WEIGHT = 0.1
+CHUNK_WEIGHT = 0.3
 SLOWNESS_NOISE = 0.25
 FAILURE_WEIGHT = 0.2
-FAILING_NOISE = 0.05
-FADE_S = 10.0
-LEAST_SLOWNESS = 0.25
-MOST_SLOWNESS = 50.0
+FAILURE_NOISE = 0.05
+HALF_LIFE_S = 10.0
+MIN_SLOWNESS = 0.25
+MAX_SLOWNESS = 50.0
 
 
 class EndpointLoad:
     """
-    One endpoint as this entry sees it; about 300 bytes.
+    The load and state of one endpoint as known to this entry; about 300 bytes.
 
-    ``pending_prefill_tokens`` counts the prompt tokens of this entry's attempts there
-    that have not yet produced output.
+    ``pending_prefill_tokens`` counts the prompt tokens of this entry's attempts that
+    the endpoint has still to process before their first output.
 
-    A report that lags also counts attempts of our own that ended since, and
-    misses those sent since. So a report is only used for what other entries do
-    there: the report less our own attempts, smoothed. Our own attempts, which we
-    count exactly, are added on top, so that no two decisions between reports
-    take an endpoint for equally idle.
+    A report that arrives late still counts this entry's attempts that have ended
+    since, and misses those sent since. A report is therefore only used to estimate
+    the calls of other entries: its total less this entry's attempts, smoothed. The
+    entry's own attempts, whose number is known exactly, are added to this estimate,
+    so that each decision between two reports takes the earlier decisions into account.
     """
 
     __slots__ = (
-        "_failing",
-        "_failing_at",
+        "_failure_rate",
+        "_failure_rate_at",
+        "_last_own_calls",
+        "_last_total_calls",
         "_other_calls",
         "_other_calls_at",
-        "_own_then",
-        "_slow",
-        "_slow_at",
-        "_total_then",
+        "_slowness",
+        "_slowness_at",
         "endpoint",
         "in_pool_sums",
         "incarnation",
@@ -63,7 +63,7 @@
         self.pool = pool
         self.endpoint = endpoint
         self.outstanding = 0
-        self.limit = endpoint.slots or UNHEARD_LIMIT
+        self.limit = endpoint.slots or DEFAULT_LIMIT
         self.pending_prefill_tokens = 0
         self.reported_at = -1.0
         self.report_requested_at = -1.0
@@ -73,123 +73,130 @@
         self.in_pool_sums = False
         self._other_calls = 0.0
         self._other_calls_at = 0.0
-        self._own_then = 0
-        self._total_then = 0
-        self._slow = 1.0
-        self._slow_at = 0.0
-        self._failing = 0.0
-        self._failing_at = 0.0
+        self._last_own_calls = 0
+        self._last_total_calls = 0
+        self._slowness = 1.0
+        self._slowness_at = 0.0
+        self._failure_rate = 0.0
+        self._failure_rate_at = 0.0
 
     def may_serve(self, model: str) -> bool:
-        """Whether it has a model by its own word; true where it has said nothing."""
+        """Whether it has reported a model, or has not reported its models at all."""
         if self.models is None:
             return True
         return model in self.models if model else bool(self.models)
 
     def accepts(self, model: str) -> bool:
-        """Whether it takes new work and has the model."""
+        """Whether it takes new work and may serve the model."""
         return not self.leaving and self.may_serve(model)
 
     def other_calls(self, now: float) -> float:
         """
-        Return the smoothed calls of other entries; may be below 0.
+        Return the smoothed number of calls of other entries; may be below 0.
 
-        They fade when nothing is heard: an endpoint that was once reported to be
-        crowded would get no attempt, send no report, and stay avoided for ever.
+        The number decays while no report arrives. Otherwise an endpoint that was once
+        reported as heavily loaded would receive no attempt, hence send no report, and
+        be avoided for ever.
         """
         return self._other_calls * other_calls_decay(now - self._other_calls_at)
 
     def occupancy(self, now: float) -> float:
         """
-        Return the predicted calls at the endpoint, running and queued.
+        Return the predicted number of calls at the endpoint, running and queued.
 
-        The less reports can be trusted, the more is it taken to be average.
+        The lower the weight of reports, the closer the calls of other entries are
+        taken to be to the pool's average.
         """
         others = self.other_calls(now) if self._other_calls > 0.0 else 0.0
-        trust = self.pool.report_weight
-        if trust < 1.0:
-            others = trust * others + (1.0 - trust) * self.pool.mean_other_calls(now)
+        weight = self.pool.report_weight
+        if weight < 1.0:
+            others = weight * others + (1.0 - weight) * self.pool.mean_other_calls(now)
         return self.outstanding + others
 
     def concurrent(self, occupancy: float) -> float:
-        """Return the predicted calls that run beside a new one."""
-        most = self.limit - 1
-        return occupancy if occupancy < most else most
+        """Return the predicted number of other calls running beside a new one."""
+        max_concurrent = self.limit - 1
+        return occupancy if occupancy < max_concurrent else max_concurrent
 
     def wait_s(self, occupancy: float, mean_s: float) -> float:
-        """Return the predicted wait of a new call, in seconds."""
+        """Return the predicted queueing time of a new call, in seconds."""
         ahead = occupancy + 1 - self.limit
         return ahead * mean_s / self.limit if ahead > 0 else 0.0
 
     def slowness(self, now: float) -> float:
         """
-        Return how much slower than its pool it runs; fades to 1 unheard.
+        Return the ratio of its run times to those of its pool; decays to 1.
 
-        Little off 1 is taken for 1: runs differ by a third among themselves, and
-        to follow that noise costs more than it finds.
+        Deviations up to ``SLOWNESS_NOISE`` are treated as 1: the run times of equal
+        endpoints differ by a third, and following that noise costs more than it gains.
         """
-        off = self._slow - 1.0
-        if -SLOWNESS_NOISE <= off <= SLOWNESS_NOISE:
+        deviation = self._slowness - 1.0
+        if -SLOWNESS_NOISE <= deviation <= SLOWNESS_NOISE:
             return 1.0
-        off *= _faded(now - self._slow_at)
-        if abs(off) <= SLOWNESS_NOISE:
+        deviation *= _decay(now - self._slowness_at)
+        if abs(deviation) <= SLOWNESS_NOISE:
             return 1.0
-        return 1.0 + off - copysign(SLOWNESS_NOISE, off)
+        return 1.0 + deviation - copysign(SLOWNESS_NOISE, deviation)
 
     def failure_rate(self, now: float) -> float:
         """
-        Return the smoothed share of attempts that fail; fades to 0 unheard.
+        Return the smoothed share of attempts that fail; decays to 0.
 
-        A small rest is taken for 0: among equals it would keep an endpoint from
-        ever getting the attempt that clears it.
+        Rates up to ``FAILURE_NOISE`` are treated as 0. A small remainder would make
+        routing prefer every equal endpoint, so that this one never received the
+        attempt that clears it.
         """
-        if self._failing <= FAILING_NOISE:
+        if self._failure_rate <= FAILURE_NOISE:
             return 0.0
-        failing = self._failing * _faded(now - self._failing_at)
-        return failing if failing > FAILING_NOISE else 0.0
+        rate = self._failure_rate * _decay(now - self._failure_rate_at)
+        return rate if rate > FAILURE_NOISE else 0.0
 
     def note_run_time(self, now: float, ratio: float) -> None:
-        """Learn from a run that took ``ratio`` times its pool's mean."""
-        self._note_slowness(now, ratio, SLOWNESS_WEIGHT)
+        """Update the slowness from a run that took ``ratio`` times its pool's mean."""
+        self._note_slowness(now, ratio, RUN_WEIGHT)
 
     def note_chunk_time(self, now: float, ratio: float) -> None:
         """
-        Learn from a chunk that took ``ratio`` times its pool's median.
+        Update the slowness from a chunk that took ``ratio`` times its pool's median.
 
-        It counts for more than a run, which is also long by a long answer.
+        A chunk has more weight than a run, whose time also depends on the length of
+        the answer.
         """
-        self._note_slowness(now, ratio, PACE_WEIGHT)
+        self._note_slowness(now, ratio, CHUNK_WEIGHT)
 
     def _note_slowness(self, now: float, ratio: float, weight: float) -> None:
-        ratio = min(MOST_SLOWNESS, max(LEAST_SLOWNESS, ratio))
-        current = 1.0 + (self._slow - 1.0) * _faded(now - self._slow_at)
-        self._slow = current + weight * (ratio - current)
-        self._slow_at = now
+        ratio = min(MAX_SLOWNESS, max(MIN_SLOWNESS, ratio))
+        current = 1.0 + (self._slowness - 1.0) * _decay(now - self._slowness_at)
+        self._slowness = current + weight * (ratio - current)
+        self._slowness_at = now
 
     def note_outcome(self, now: float, failed: bool) -> None:
-        """Learn from an attempt's end."""
-        current = self._failing * _faded(now - self._failing_at)
-        self._failing = current + FAILURE_WEIGHT * (failed - current)
-        self._failing_at = now
+        """Update the failure rate from an attempt that ended."""
+        current = self._failure_rate * _decay(now - self._failure_rate_at)
+        self._failure_rate = current + FAILURE_WEIGHT * (failed - current)
+        self._failure_rate_at = now
 
     def apply_report(self, now: float, report: LoadReport) -> None:
-        """Learn from a report, however late."""
+        """Update the estimate from a load report, which may be late."""
         total = report.running + report.queued
-        # A reply's report no longer counts its own call, one asked for does. Taken
-        # alike, they would seem not to follow our attempts: reports of now would be
-        # doubted, and prefixes be left out of routing.
+        # A report sent with a reply no longer counts that call; a requested report
+        # counts all calls. Without the correction the reports would seem not to follow
+        # this entry's attempts: current ones would lose their weight, and routing would
+        # ignore cached prefixes.
         own = max(0, self.outstanding - report.ended)
         if self.reported_at >= 0:
-            self.pool.note_report(total - self._total_then, own - self._own_then)
-        self._total_then = total
-        self._own_then = own
+            self.pool.note_report(
+                total - self._last_total_calls, own - self._last_own_calls
+            )
+        self._last_total_calls = total
+        self._last_own_calls = own
         others = total - own
         current = self.other_calls(now)
         if self.reported_at < 0:
             weight = 1.0
         else:
             smoothing_s = (
-                SMOOTHING_S + (1.0 - self.pool.report_weight) * DOUBT_SMOOTHING_S
+                SMOOTHING_S + (1.0 - self.pool.report_weight) * STALE_SMOOTHING_S
             )
             weight = 1.0 - exp(-max(0.0, now - self.reported_at) / smoothing_s)
         self._other_calls = current + weight * (others - current)
@@ -203,7 +210,7 @@
 
 
 class LoadTable:
-    """The endpoints that this entry has used or heard of, and sums by pool."""
+    """The loads of endpoints that this entry has used, and their sums by pool."""
 
     def __init__(self, build: BuildLoad = EndpointLoad) -> None:
         self._build = build
@@ -214,18 +221,18 @@
         return len(self._loads)
 
     def pool(self, name: str) -> PoolLoad:
-        """Return the sums of a pool."""
-        found = self._pools.get(name)
-        if found is None:
-            found = self._pools[name] = PoolLoad()
-        return found
+        """Return the sums of a pool, created at first use."""
+        pool = self._pools.get(name)
+        if pool is None:
+            pool = self._pools[name] = PoolLoad()
+        return pool
 
     def find(self, endpoint: str) -> EndpointLoad | None:
-        """Return what is known of an endpoint, or ``None``."""
+        """Return an endpoint's load, or ``None``."""
         return self._loads.get(endpoint)
 
     def get_or_create(self, endpoint: Endpoint) -> EndpointLoad:
-        """Return an endpoint's load, made at first use."""
+        """Return an endpoint's load, created at first use."""
         load = self._loads.get(endpoint.id)
         if load is None:
             load = self._build(endpoint, self.pool(endpoint.pool))
@@ -243,7 +250,7 @@
         pool.add_other_calls(now, load.other_calls(now))
 
     def remove_from_pool(self, now: float, load: EndpointLoad) -> None:
-        """Take an endpoint that is leaving, ejected or gone out of the sums."""
+        """Subtract a leaving, ejected or removed endpoint from its pool's sums."""
         if not load.in_pool_sums:
             return
         load.in_pool_sums = False
@@ -254,7 +261,7 @@
         ensure(pool.size >= 0, "a pool's size is not negative")
 
     def apply_report(self, now: float, load: EndpointLoad, report: LoadReport) -> None:
-        """Learn from a report, and keep the sums."""
+        """Update an endpoint's load from a report, and its pool's sums."""
         if not load.in_pool_sums:
             load.apply_report(now, report)
             return
@@ -264,30 +271,30 @@
         load.pool.replace_other_calls(now, old_others, load.other_calls(now))
 
     def add_attempt(self, load: EndpointLoad) -> None:
-        """Count an attempt at an endpoint."""
+        """Count an attempt that is sent to an endpoint."""
         load.outstanding += 1
         load.pool.outstanding += 1
 
     def remove_attempt(self, endpoint: str, pool: str) -> None:
-        """Count an attempt as ended, also at an endpoint that is forgotten."""
+        """Subtract an attempt that ended; its endpoint may have been removed."""
         load = self._loads.get(endpoint)
         if load is not None:
-            # One that was forgotten and registered anew starts from 0 again.
+            # An endpoint that was removed and registered again starts from 0.
             load.outstanding = max(0, load.outstanding - 1)
         sums = self.pool(pool)
         sums.outstanding -= 1
         ensure(sums.outstanding >= 0, "attempts at a pool are not negative")
 
     def remove(self, now: float, endpoint: str) -> None:
-        """Forget an endpoint that is no longer registered."""
+        """Remove an endpoint that is no longer registered."""
         load = self._loads.pop(endpoint, None)
         if load is not None:
             self.remove_from_pool(now, load)
 
     def ids(self) -> list[str]:
-        """Return the ids of the endpoints held."""
+        """Return the ids of the endpoints in the table."""
         return list(self._loads)
 
 
-def _faded(age_s: float) -> float:
-    return 0.5 ** (age_s / FADE_S) if age_s > 0 else 1.0
+def _decay(age_s: float) -> float:
+    return 0.5 ** (age_s / HALF_LIFE_S) if age_s > 0 else 1.0
--- a/packages/policy/src/amaranthtally/policy/membership.py
+++ b/packages/policy/src/amaranthtally/policy/membership.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get work: registered, not leaving, not ejected."""
+"""The endpoints that may receive work: registered, not leaving and not ejected."""
 
 from itertools import islice
 
@@ -12,15 +12,19 @@
 
 __all__ = ["Membership"]
 
-GREET_EVERY_S = 2.0
-GREETS_AT_ONCE = 4
-# Endpoints that are asked for their models in turn, though they may get no calls: as
-# many as an entry is connected to of one pool.
-MOST_UNCONFIRMED = 64
+LOAD_REQUEST_INTERVAL_S = 2.0
+MAX_LOAD_REQUESTS = 4
+# Endpoints that are polled for their models in turn, even if they receive no calls: as
+# many as an entry is connected to in one pool.
+MAX_UNCONFIRMED = 64
 
 
 class Membership:
-    """Keeps loads, ejections and the sums of the pools in step with what is heard."""
+    """
+    Tracks which endpoints are usable.
+
+    It updates the loads, the ejections and the sums of the pools together.
+    """
 
     def __init__(
         self,
@@ -34,11 +38,11 @@
         self._ejections = ejections
         self._prefixes = prefixes
         self._prepared: set[tuple[str, str]] = set()
-        self._without_work: dict[str, float] = {}
+        self._excluded: dict[str, float] = {}
         self._unconfirmed: dict[str, float] = {}
 
     def replace(self, now: float, settings: PolicySettings) -> None:
-        """Use other endpoints; forget those that are gone or have moved."""
+        """Apply new settings; discard endpoints that were removed or have moved."""
         if not self._groups.replace(settings.region, settings.endpoints):
             return
         self._prepared.clear()
@@ -49,111 +53,113 @@
                 continue
             stays = new is not None and new.takes_calls
             if new is not None and stays and new.stands_like(load.endpoint):
-                # What runs there goes on, and its word of its models still holds.
+                # Its attempts continue, and the models that it reported remain valid.
                 load.endpoint = new
             else:
                 self._forget(now, name)
-        self._note_unconfirmed(settings)
+        self._update_unconfirmed(settings)
 
     def prepare(self, now: float, stage: Stage) -> None:
-        """Count a stage's candidates in, once for each pool and model."""
+        """Add a stage's candidates to the sums, once for each pool and model."""
         key = (stage.pool, stage.model)
         if key in self._prepared:
             return
         self._prepared.add(key)
-        self._open_all(now, self._groups.candidates(stage))
+        self._add_candidates(now, self._groups.candidates(stage))
 
     def apply_report(self, now: float, endpoint: str, report: LoadReport) -> None:
         """
-        Take a sidecar's word of its load and of whether it leaves.
+        Apply a sidecar's report of its load and of whether it is leaving.
 
-        Reports lag: one sent before the endpoint began to leave may come after
-        the news, and must not bring it back. Only another incarnation does.
+        Reports may be late: one that was sent before the endpoint began to leave can
+        arrive after the notice that it leaves, and must not readmit it. Only a report
+        of another incarnation does.
         """
-        load = self._open(endpoint)
+        load = self._find_or_create(endpoint)
         if load is None:
             return
         restarted = bool(load.incarnation) and report.incarnation != load.incarnation
         if restarted:
             self._prefixes.invalidate(endpoint)
-            self._return(now, load)
+            self._readmit(now, load)
         load.incarnation = report.incarnation
         self._loads.apply_report(now, load, report)
-        if not _says_otherwise(load.endpoint, report.models):
+        if not _models_differ(load.endpoint, report.models):
             self._unconfirmed.pop(endpoint, None)
         if report.leaving:
             self.mark_leaving(now, endpoint)
 
     def mark_leaving(self, now: float, endpoint: str) -> None:
-        """Give an endpoint no new work."""
-        load = self._open(endpoint)
+        """Stop sending new work to an endpoint."""
+        load = self._find_or_create(endpoint)
         if load is None or load.leaving:
             return
         load.leaving = True
-        self._without_work[endpoint] = now
+        self._excluded[endpoint] = now
         self._loads.remove_from_pool(now, load)
 
     def mark_staying(self, now: float, endpoint: str) -> None:
-        """Give work again to an endpoint that was thought to leave."""
+        """Send new work again to an endpoint that was marked as leaving."""
         load = self._loads.find(endpoint)
         if load is not None:
-            self._return(now, load)
+            self._readmit(now, load)
 
     def failed(self, now: float, load: EndpointLoad) -> bool:
-        """Note a failed attempt; true when its endpoint is ejected for it."""
+        """Count a failed attempt; return whether its endpoint is ejected for it."""
         load.note_outcome(now, failed=True)
         pool = load.endpoint.pool
-        known = self._loads.pool(pool).size + len(self._ejections.ejected(pool))
-        if not self._ejections.failed(now, load.endpoint.id, pool, known):
+        pool_size = self._loads.pool(pool).size + len(self._ejections.ejected(pool))
+        if not self._ejections.failed(now, load.endpoint.id, pool, pool_size):
             return False
         self._loads.remove_from_pool(now, load)
-        self._without_work[load.endpoint.id] = now
+        self._excluded[load.endpoint.id] = now
         return True
 
     def succeeded(self, now: float, load: EndpointLoad) -> None:
-        """Note an attempt that finished; an ejected endpoint is let back."""
+        """Count an attempt that finished; an ejected endpoint is readmitted."""
         load.note_outcome(now, failed=False)
         self._ejections.succeeded(load.endpoint.id)
         if not load.leaving:
-            self._without_work.pop(load.endpoint.id, None)
+            self._excluded.pop(load.endpoint.id, None)
             self._loads.add_to_pool(now, load)
 
     def due_load_requests(self, now: float) -> list[Action]:
         """
-        Ask for word from endpoints without work, or that have other models than wanted.
+        Return load requests for excluded endpoints and those with unconfirmed models.
 
-        A sidecar that restarts under its old name would otherwise never be heard
-        of again: its new incarnation is told in replies, and it gets no calls. Nor
-        would one of a pool without requests: a pipeline could not be switched to what
-        it has loaded, as the last word of it says otherwise.
+        Both receive no calls, and reports are sent with replies. Without polling, a
+        sidecar that restarts under its old name would stay excluded, since only its
+        report shows the new incarnation. In a pool without requests, an endpoint that
+        has since loaded a model would still be known by its last report, and no
+        pipeline could be switched to that model.
         """
-        left = _due(now, self._without_work)
-        return [Greet(name) for name in left + _due(now, self._unconfirmed)]
+        excluded = _due(now, self._excluded)
+        return [Greet(name) for name in excluded + _due(now, self._unconfirmed)]
 
-    def _note_unconfirmed(self, settings: PolicySettings) -> None:
-        asked = sorted(
+    def _update_unconfirmed(self, settings: PolicySettings) -> None:
+        with_models = sorted(
             (endpoint for endpoint in settings.endpoints.values() if endpoint.models),
             key=lambda endpoint: endpoint.region != settings.region,
         )
-        names = (e.id for e in asked if e.takes_calls and self._is_unconfirmed(e))
+        names = (e.id for e in with_models if e.takes_calls and self._is_unconfirmed(e))
         before = self._unconfirmed
         self._unconfirmed = {
-            name: before.get(name, -GREET_EVERY_S)
-            for name in islice(names, MOST_UNCONFIRMED)
+            name: before.get(name, -LOAD_REQUEST_INTERVAL_S)
+            for name in islice(names, MAX_UNCONFIRMED)
         }
 
     def _is_unconfirmed(self, endpoint: Endpoint) -> bool:
         load = self._loads.find(endpoint.id)
         if load is None or load.reported_at < 0:
             return True
-        return _says_otherwise(endpoint, load.models)
+        return _models_differ(endpoint, load.models)
 
-    def _open_all(self, now: float, regions: EndpointsByRegion) -> None:
+    def _add_candidates(self, now: float, regions: EndpointsByRegion) -> None:
         for group in regions.values():
             for endpoint in group:
-                self._count_in_usable(now, self._loads.get_or_create(endpoint))
+                self._add_if_usable(now, self._loads.get_or_create(endpoint))
 
-    def _open(self, endpoint: str) -> EndpointLoad | None:
+    def _find_or_create(self, endpoint: str) -> EndpointLoad | None:
         load = self._loads.find(endpoint)
         if load is None:
             registered = self._groups.find(endpoint)
@@ -162,13 +168,13 @@
             load = self._loads.get_or_create(registered)
         return load
 
-    def _return(self, now: float, load: EndpointLoad) -> None:
+    def _readmit(self, now: float, load: EndpointLoad) -> None:
         load.leaving = False
         if not self._ejections.is_ejected(load.endpoint.id):
-            self._without_work.pop(load.endpoint.id, None)
+            self._excluded.pop(load.endpoint.id, None)
             self._loads.add_to_pool(now, load)
 
-    def _count_in_usable(self, now: float, load: EndpointLoad) -> None:
+    def _add_if_usable(self, now: float, load: EndpointLoad) -> None:
         if not load.leaving and not self._ejections.is_ejected(load.endpoint.id):
             self._loads.add_to_pool(now, load)
 
@@ -176,20 +182,22 @@
         self._loads.remove(now, endpoint)
         self._ejections.forget(endpoint)
         self._prefixes.invalidate(endpoint)
-        self._without_work.pop(endpoint, None)
+        self._excluded.pop(endpoint, None)
 
 
-def _says_otherwise(endpoint: Endpoint, models: frozenset[str] | None) -> bool:
-    """Whether an endpoint answers other models than it is registered with."""
+def _models_differ(endpoint: Endpoint, models: frozenset[str] | None) -> bool:
+    """Whether an endpoint reports other models than it is registered with."""
     return models is not None and models != set(endpoint.models)
 
 
-def _due(now: float, asked_at: dict[str, float]) -> list[str]:
-    """Return the few that were asked longest ago, and note that they are asked now."""
-    waited = (name for name, at in asked_at.items() if now - at >= GREET_EVERY_S)
-    due = list(islice(waited, GREETS_AT_ONCE))
+def _due(now: float, requested_at: dict[str, float]) -> list[str]:
+    """Return the endpoints that are due for a load request, and note that it is sent."""
+    waiting = (
+        name for name, at in requested_at.items() if now - at >= LOAD_REQUEST_INTERVAL_S
+    )
+    due = list(islice(waiting, MAX_LOAD_REQUESTS))
     for name in due:
-        # Put last, so that a few that never answer do not keep others waiting.
-        del asked_at[name]
-        asked_at[name] = now
+        # Reinserted last, so that endpoints that never answer do not delay the others.
+        del requested_at[name]
+        requested_at[name] = now
     return due
--- a/packages/policy/src/amaranthtally/policy/model_orders.py
+++ b/packages/policy/src/amaranthtally/policy/model_orders.py
@@ -1,9 +1,10 @@
-"""Which orders bring an engine's models and role to what the operators want."""
+"""Plans the orders that bring an engine's models and role to the desired state."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
 __all__ = [
+    "DesiredModels",
     "EngineModels",
     "Load",
     "ModelPlan",
@@ -11,7 +12,6 @@
     "Order",
     "SetRole",
     "Unload",
-    "DesiredModels",
     "plan_model_orders",
 ]
 
@@ -22,10 +22,10 @@
 @dataclass(frozen=True, slots=True)
 class DesiredModels:
     """
-    What an endpoint is to hold, the most wanted model first, and its role.
+    The models that an endpoint is to have, in order of preference, and its role.
 
-    ``slots`` bounds the models held at once; 0 sets no bound. Without ``models``
-    the engine's own are left as they are.
+    ``slots`` limits the number of models loaded at once; 0 means no limit. With no
+    ``models``, the engine's models are left unchanged.
     """
 
     models: tuple[str, ...] = ()
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineModels:
-    """What an engine holds by its own word; an empty role is not known."""
+    """The models and role that an engine reports; an empty role is unknown."""
 
     models: frozenset[str] = frozenset()
     role: str = ""
@@ -44,12 +44,12 @@
 @dataclass(frozen=True, slots=True)
 class ModelUsage:
     """
-    What is known of the calls of an endpoint's models.
+    The use of an endpoint's models by calls.
 
-    ``running`` counts accepted calls that have not ended. ``idle_s`` says for how
-    long a model has been neither wanted nor called, in seconds. ``required`` models
-    are asked for by a pipeline that no other endpoint could answer. ``retired``
-    models and, while ``paused``, all calls are refused already.
+    ``running`` counts the accepted calls of each model that have not ended.
+    ``idle_s`` is the time in seconds since a model was last desired or called.
+    ``required`` models are used by a pipeline and available at no other endpoint.
+    Calls of ``retired`` models are refused already, and all calls while ``paused``.
     """
 
     running: Mapping[str, int] = field(default_factory=dict)
@@ -61,21 +61,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Load a model whose weights the engine may not have."""
+    """Load a model, whose weights the engine may not have yet."""
 
     model: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unload:
-    """Give up a model that no call uses and none may use from now on."""
+    """Unload a model that no call uses and for which new calls are refused."""
 
     model: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetRole:
-    """Change an engine's role while nothing runs on it."""
+    """Change the role of an engine that is running no calls."""
 
     role: str
 
@@ -86,12 +86,12 @@
 @dataclass(frozen=True, slots=True)
 class ModelPlan:
     """
-    What to refuse from now on, and the orders to give now.
+    The calls to refuse from now on, and the orders to give now.
 
-    Calls of ``retired`` models, or all calls while ``paused``, are to be refused
-    before their ends are waited for. ``pending`` while calls, or the time without
-    calls before an unload, are waited for; ``blocked_reason`` says what
-    prevents a load.
+    Calls of ``retired`` models, or all calls while ``paused``, must be refused before
+    the running ones are waited for. ``pending`` is set while the plan waits for calls
+    to end, or for a model to be idle long enough to be unloaded. ``blocked_reason``
+    says why a model cannot be loaded.
     """
 
     retired: frozenset[str] = frozenset()
@@ -102,69 +102,78 @@
 
 
 def plan_model_orders(
-    wanted: DesiredModels, held: EngineModels, use: ModelUsage, unload_after_s: float
+    desired: DesiredModels,
+    current: EngineModels,
+    usage: ModelUsage,
+    unload_after_s: float,
 ) -> ModelPlan:
     """
-    Return the next step from what an engine holds to what is wanted.
+    Return the next step from the current to the desired models and role.
 
-    Loads come first, then the role, then unloads: a model is given up only when
-    all that are wanted are there, unless memory has no room for both. An unload
-    and a change of role are ordered only one step after their calls are refused,
-    and when no call is left: whoever asks has then been told, and nothing is cut.
+    Models are loaded first, then the role is changed, then models are unloaded: a
+    model is unloaded only when all desired ones are loaded, unless there is no memory
+    for both. An unload or a change of role is ordered at the earliest one step after
+    its calls are refused, and only when none is running, so that callers know of the
+    refusal and no call is interrupted.
     """
-    plan = _next_step(wanted, held, use, unload_after_s)
-    # An engine that cannot answer gets no calls, also while it loads.
-    return replace(plan, paused=plan.paused or held.role == PREFILL)
+    plan = _next_step(desired, current, usage, unload_after_s)
+    # An engine in the prefill role cannot answer calls, and gets none while it loads.
+    return replace(plan, paused=plan.paused or current.role == PREFILL)
 
 
 def _next_step(
-    wanted: DesiredModels, held: EngineModels, use: ModelUsage, unload_after_s: float
+    desired: DesiredModels,
+    current: EngineModels,
+    usage: ModelUsage,
+    unload_after_s: float,
 ) -> ModelPlan:
-    missing = [model for model in wanted.models if model not in held.models]
-    unwanted = _unwanted(wanted, held, use)
-    spare = [m for m in unwanted if use.idle_s.get(m, 0.0) >= unload_after_s]
+    missing = [model for model in desired.models if model not in current.models]
+    undesired = _undesired(desired, current, usage)
+    unloadable = [m for m in undesired if usage.idle_s.get(m, 0.0) >= unload_after_s]
     if missing:
-        return _make_room(wanted, held, use, spare, missing)
-    if held.role and wanted.role != held.role:
-        return _change_role(wanted.role, use)
-    plan = _give_up(spare, use, MAX_ORDERS)
-    return replace(plan, pending=plan.pending or len(spare) < len(unwanted))
+        return _load_missing(desired, current, usage, unloadable, missing)
+    if current.role and desired.role != current.role:
+        return _change_role(desired.role, usage)
+    plan = _unload(unloadable, usage, MAX_ORDERS)
+    return replace(plan, pending=plan.pending or len(unloadable) < len(undesired))
 
 
-def _unwanted(wanted: DesiredModels, held: EngineModels, use: ModelUsage) -> list[str]:
-    if not wanted.models:
+def _undesired(
+    desired: DesiredModels, current: EngineModels, usage: ModelUsage
+) -> list[str]:
+    if not desired.models:
         return []
-    return sorted(held.models - frozenset(wanted.models) - use.required)
+    return sorted(current.models - frozenset(desired.models) - usage.required)
 
 
-def _make_room(
-    wanted: DesiredModels,
-    held: EngineModels,
-    use: ModelUsage,
-    spare: list[str],
+def _load_missing(
+    desired: DesiredModels,
+    current: EngineModels,
+    usage: ModelUsage,
+    unloadable: list[str],
     missing: list[str],
 ) -> ModelPlan:
-    room = wanted.slots - len(held.models) if wanted.slots else len(missing)
-    if room > 0:
-        loads = [Load(model) for model in missing[: min(room, MAX_ORDERS)]]
+    free_slots = desired.slots - len(current.models) if desired.slots else len(missing)
+    if free_slots > 0:
+        loads = [Load(model) for model in missing[: min(free_slots, MAX_ORDERS)]]
         return ModelPlan(orders=tuple(loads))
-    if not spare:
-        detail = f"no room for {missing[0]} beside {', '.join(sorted(held.models))}"
-        return ModelPlan(pending=True, blocked_reason=detail)
-    # No more than the missing ones need: what stays loaded serves on.
-    return _give_up(spare[: len(missing) - room], use, MAX_ORDERS)
+    if not unloadable:
+        reason = f"no room for {missing[0]} beside {', '.join(sorted(current.models))}"
+        return ModelPlan(pending=True, blocked_reason=reason)
+    # Only as many as the missing models need: the others continue to serve calls.
+    return _unload(unloadable[: len(missing) - free_slots], usage, MAX_ORDERS)
 
 
-def _change_role(role: str, use: ModelUsage) -> ModelPlan:
-    if use.paused and not any(use.running.values()):
+def _change_role(role: str, usage: ModelUsage) -> ModelPlan:
+    if usage.paused and not any(usage.running.values()):
         return ModelPlan(paused=True, orders=(SetRole(role),))
     return ModelPlan(paused=True, pending=True)
 
 
-def _give_up(spare: list[str], use: ModelUsage, most: int) -> ModelPlan:
-    ready = [m for m in spare if m in use.retired and not use.running.get(m, 0)]
+def _unload(models: list[str], usage: ModelUsage, max_orders: int) -> ModelPlan:
+    ready = [m for m in models if m in usage.retired and not usage.running.get(m, 0)]
     return ModelPlan(
-        retired=frozenset(spare),
-        orders=tuple(Unload(model) for model in ready[:most]),
-        pending=len(ready) < len(spare),
+        retired=frozenset(models),
+        orders=tuple(Unload(model) for model in ready[:max_orders]),
+        pending=len(ready) < len(models),
     )
--- a/packages/policy/src/amaranthtally/policy/outcome_recorder.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts tell of endpoints, stages and cached prefixes."""
+"""Updates the statistics of endpoints, stages and prefixes from ended attempts."""
 
 from amaranthtally.policy.ejection import Ejections
 from amaranthtally.policy.events import Fate, StageResult
@@ -14,7 +14,7 @@
 
 
 class OutcomeRecorder:
-    """Learns from attempts, however they ended."""
+    """Updates statistics, ejections and the prefix index as attempts end."""
 
     def __init__(
         self,
@@ -36,26 +36,26 @@
 
     def deadline_passed(self, now: float, request: Request) -> None:
         """
-        Learn from attempts that the deadline ends.
+        Add the run times of attempts that are still running at the deadline.
 
-        Runs cut off by it never end here: without them a stage that takes longer than
-        any deadline would look as fast as it used to be.
+        These runs never report their end. Without their times so far, a stage that has
+        become slower than any deadline would keep its earlier, shorter run times.
         """
         stats = self._times.of(request.current)
         for attempt in request.live.values():
-            ran = now - attempt.sent_at - attempt.wait_s
-            if ran > stats.median_s:
-                stats.add(ran, int(stats.output_bytes), attempt.beside)
+            run_s = now - attempt.sent_at - attempt.wait_s
+            if run_s > stats.median_s:
+                stats.add(run_s, int(stats.output_bytes), attempt.beside)
             self._ejections.probe_inconclusive(attempt.endpoint)
 
     def attempt_failed(
         self, now: float, request: Request, ended: LiveAttempt, result: StageResult
     ) -> None:
-        """Learn from an attempt that failed, where that says something."""
+        """Count a failed attempt against its endpoint, if the endpoint caused it."""
         load = self._loads.find(ended.endpoint)
-        # A full queue, a model not loaded or a request that fails everywhere says
-        # nothing against the endpoint; to eject it would take capacity away.
-        blameless = result.permanent or (
+        # A full queue, a missing model, missing inputs or a request that fails at every
+        # endpoint are no fault of this one; ejecting it would only reduce capacity.
+        not_at_fault = result.permanent or (
             result.fate is Fate.NOT_RUN
             and (
                 result.retry_after_s > 0
@@ -63,7 +63,7 @@
                 or (load is not None and not load.accepts(request.current.model))
             )
         )
-        if blameless or load is None:
+        if not_at_fault or load is None:
             self._ejections.probe_inconclusive(ended.endpoint)
             return
         self._counters.ejections += self._membership.failed(now, load)
@@ -71,7 +71,7 @@
     def attempt_overtaken(
         self, now: float, loser: LiveAttempt, winner: LiveAttempt
     ) -> None:
-        """Count a strike against an endpoint that a later attempt overtook."""
+        """Count a failure of an endpoint if an attempt that was sent later won."""
         load = self._loads.find(loser.endpoint)
         if load is None or loser.sent_at >= winner.sent_at:
             self._ejections.probe_inconclusive(loser.endpoint)
@@ -81,7 +81,7 @@
     def attempt_finished(
         self, now: float, request: Request, ended: LiveAttempt, result: StageResult
     ) -> None:
-        """Learn from an attempt that finished."""
+        """Update the statistics from an attempt that finished."""
         load = self._loads.find(ended.endpoint)
         if load is None:
             return
@@ -89,11 +89,11 @@
         if stats.known and not ended.stream.pace_s:
             load.note_run_time(now, result.run_s / stats.loaded_mean_s(ended.beside))
         stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
-        on_the_way = now - ended.sent_at - result.run_s - result.queued_s
+        round_trip_s = now - ended.sent_at - result.run_s - result.queued_s
         if not ended.asks:
-            self._router.note_round_trip(load.endpoint.region, max(0.0, on_the_way))
+            self._router.note_round_trip(load.endpoint.region, max(0.0, round_trip_s))
         self._membership.succeeded(now, load)
-        # An index entry names few holders: the endpoints of the other stages, which
-        # cache nothing, would push the engine out before the prefix comes again.
+        # The index keeps few holders of each block: the endpoints of the other stages,
+        # which cache nothing, would displace the engine before the prefix occurs again.
         if request.arrival.prefix and request.current.caches_prefixes:
             self._prefixes.add_run(now, ended.endpoint, request.arrival.prefix)
--- a/packages/policy/src/amaranthtally/policy/peer_directory.py
+++ b/packages/policy/src/amaranthtally/policy/peer_directory.py
@@ -1,21 +1,22 @@
-"""Which entries live, by their records and by their own word."""
+"""The entries that are alive, by their records and their own messages."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
 __all__ = ["PeerDirectory", "PeerRecord"]
 
-# How long an entry without a record is taken to live after its own last word, in
-# seconds: three checks of one second, of which two may be lost.
-WORD_S = 3.0
-# How long an entry that has gone can still be told things, in seconds: longer than the
-# whole grace of a stop, in which it waits for what it asked of others.
-REMEMBERED_S = 30.0
+# Time for which an entry without a record is taken to be alive after its last message,
+# in seconds: three checks at intervals of one second, of which two may be lost.
+MESSAGE_TTL_S = 3.0
+# Time for which the address of an entry that has left is retained, in seconds. It is
+# longer than the grace period of a stop, during which the entry waits for the results
+# that it requested from others.
+ADDRESS_TTL_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class PeerRecord:
-    """Where an entry stands and where its peers reach it, as ``ip:port``."""
+    """An entry's data centre, and the address for its peers as ``ip:port``."""
 
     address: str
     data_centre: str
@@ -25,52 +26,54 @@
     """
     Entries by name; times are time stamps in seconds.
 
-    An entry whose record is missing is doubted, not gone. The failure: the lease of
-    an entry that the store turns away runs out though it lives and serves callers.
-    Those that still read the store then gave its endpoints to another owner, it kept
-    its own, and two callers filled each endpoint's queue and memory for the length of
-    the cut. Whoever is doubted is asked itself, and counts while it says that it stays.
+    An entry whose record is missing is unconfirmed, but still alive. The lease of an
+    entry that cannot reach the store expires although the entry runs and serves
+    callers. If the other entries removed it at once, they would assign its endpoints to
+    another owner while it kept using them, and two entries would fill each endpoint's
+    queue and memory until the store could be reached again. Each unconfirmed entry is
+    therefore asked directly, and stays alive while it answers that it is not leaving.
     """
 
     def __init__(self) -> None:
         self._registered: dict[str, PeerRecord] = {}
         self._unconfirmed: dict[str, float] = {}
         self._known: dict[str, PeerRecord] = {}
-        self._gone_at: dict[str, float] = {}
+        self._left_at: dict[str, float] = {}
 
     @property
     def alive(self) -> Mapping[str, PeerRecord]:
-        """Entries that take part: registered, or doubted and not yet gone."""
-        doubted = {name: self._known[name] for name in self._unconfirmed}
-        return {**self._registered, **doubted}
+        """Entries that are registered, and unconfirmed ones that have not left."""
+        unconfirmed = {name: self._known[name] for name in self._unconfirmed}
+        return {**self._registered, **unconfirmed}
 
     @property
     def unconfirmed(self) -> tuple[str, ...]:
-        """Entries that are to be asked whether they stay."""
+        """Entries without a record, which must be asked whether they are alive."""
         return tuple(self._unconfirmed)
 
     @property
     def addresses(self) -> Mapping[str, str]:
         """
-        Addresses of all that are known, those that have gone a short while ago too.
+        Addresses of all known entries, including those that left recently.
 
-        The failure: a stopping entry takes its record away first and then waits for
-        the pieces that it has asked for. Peers that forgot its address with its record
-        could not tell it of them, and its requests were refused after all that work.
+        A stopping entry first removes its record and then waits for the results of the
+        pieces that it requested. If its peers dropped the address together with the
+        record, they could not report these results, and the entry would have to refuse
+        its requests after all that work.
         """
         return {name: record.address for name, record in self._known.items()}
 
     # Records
 
     def put(self, name: str, record: PeerRecord) -> None:
-        """Take a new or changed record."""
+        """Add or replace a record."""
         self._registered[name] = record
         self._known[name] = record
         self._unconfirmed.pop(name, None)
-        self._gone_at.pop(name, None)
+        self._left_at.pop(name, None)
 
     def replace(self, now: float, records: Mapping[str, PeerRecord]) -> None:
-        """Take all records, as they were read."""
+        """Apply the complete set of records."""
         self.records_removed(
             now, [name for name in self._registered if name not in records]
         )
@@ -78,48 +81,53 @@
             self.put(name, record)
 
     def records_removed(self, now: float, names: Iterable[str]) -> None:
-        """Take word that records are no longer there."""
+        """Make entries unconfirmed whose records were removed."""
         for name in names:
             if self._registered.pop(name, None) is not None:
-                self._unconfirmed[name] = now + WORD_S
+                self._unconfirmed[name] = now + MESSAGE_TTL_S
 
-    # Words
+    # Messages
 
     def note_greeting(self, now: float, name: str, record: PeerRecord) -> bool:
         """
-        Hear from an entry of itself; whether it was not known to live.
+        Add an entry that introduced itself; return whether it was not alive before.
 
-        The failure: an entry that starts while the store is away knows nobody, and
-        serves nobody until the store is back. Its peers know it from before and greet
-        it; so it learns of them, and has their configuration within a second or two.
-        One that takes no part tells no address.
+        An entry that starts while the store is unavailable knows no peers and would
+        serve no requests until the store is available again. Peers that know it from
+        before greet it. From their greetings it learns of them, and it has their
+        configuration within a second or two. A greeting without an address comes from
+        an entry that is starting or leaving, and is ignored.
         """
         if name in self._registered or not record.address:
             return False
         is_new = name not in self._unconfirmed
-        self._unconfirmed[name] = now + WORD_S
+        self._unconfirmed[name] = now + MESSAGE_TTL_S
         self._known[name] = record
-        self._gone_at.pop(name, None)
+        self._left_at.pop(name, None)
         return is_new
 
     def note_alive(self, now: float, name: str) -> None:
-        """Hear from a doubted entry that it lives and stays."""
+        """Extend the life of an unconfirmed entry that answered a check."""
         if name in self._unconfirmed:
-            self._unconfirmed[name] = now + WORD_S
+            self._unconfirmed[name] = now + MESSAGE_TTL_S
 
     def note_left(self, now: float, name: str) -> bool:
-        """Hear that an entry leaves or does not answer; whether that is news."""
+        """
+        Remove an unconfirmed entry that left or does not answer.
+
+        Return whether it was alive until now.
+        """
         if self._unconfirmed.pop(name, None) is None:
             return False
-        self._gone_at[name] = now
+        self._left_at[name] = now
         return True
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drop those not heard of for long; return those that take part no more."""
+        """Remove unconfirmed entries without recent messages, and return them."""
         silent = [name for name, until in self._unconfirmed.items() if until <= now]
         for name in silent:
             self.note_left(now, name)
-        for name in [n for n, at in self._gone_at.items() if now - at >= REMEMBERED_S]:
-            del self._gone_at[name]
+        for name in [n for n, at in self._left_at.items() if now - at >= ADDRESS_TTL_S]:
+            del self._left_at[name]
             del self._known[name]
         return tuple(silent)
--- a/packages/policy/src/amaranthtally/policy/pool_loads.py
+++ b/packages/policy/src/amaranthtally/policy/pool_loads.py
@@ -1,22 +1,23 @@
-"""Sums over a pool's endpoints, and how far their reports are believed."""
+"""Sums over a pool's endpoints, and the weight given to their load reports."""
 
 from amaranthtally.policy.regression import DecayingRegression
 
 __all__ = ["PoolLoad", "other_calls_decay"]
 
-STALE_S = 5.0
-MOST_ON_THE_WAY = 4.0
-# Own attempts that come and go in a few reports outweigh the prior.
-FOLLOWING_PRIOR_VARIANCE = 0.2
+OTHER_CALLS_HALF_LIFE_S = 5.0
+MAX_UPSTREAM_RATIO = 4.0
+# Attempts that start and end within a few reports outweigh a prior of this variance.
+RESPONSE_PRIOR_VARIANCE = 0.2
 
 
 class PoolLoad:
     """
-    Sums over the endpoints of a pool that an entry uses, kept as they change.
+    Sums over the endpoints of a pool that an entry uses, updated incrementally.
 
-    ``pending`` counts this entry's requests that have yet to finish a stage in
-    the pool, also those that have not reached it; ``outstanding`` only those at
-    its endpoints. Reading a pool costs the same whatever its size.
+    ``pending`` counts this entry's requests that have yet to finish a stage in the
+    pool, including those still in earlier stages; ``outstanding`` counts only those at
+    the pool's endpoints. The cost of reading the sums does not depend on the pool's
+    size.
     """
 
     __slots__ = (
@@ -31,7 +32,7 @@
     )
 
     def __init__(self) -> None:
-        self._response = DecayingRegression(FOLLOWING_PRIOR_VARIANCE)
+        self._response = DecayingRegression(RESPONSE_PRIOR_VARIANCE)
         self._report_weight = 1.0
         self.capacity = 0
         self.outstanding = 0
@@ -42,55 +43,57 @@
 
     @property
     def report_weight(self) -> float:
-        """How far reports are taken to be of now, from 0 to 1."""
+        """Weight of load reports, from 0 where they are stale to 1 where current."""
         return self._report_weight
 
     def note_report(self, change: float, own_change: float) -> None:
         """
-        Note by how many calls two reports differ, and our own attempts between.
+        Update the weight from the changes between two successive reports.
 
-        Reports of now follow our own attempts one by one. Those of some time ago
-        do not; entries that believed them would all send to endpoints that were
-        idle then, and the next time to the others.
+        ``change`` is the change in reported calls and ``own_change`` the change in this
+        entry's own attempts. Current reports follow the entry's attempts one by one,
+        late ones do not. If entries relied on late reports, all of them would send to
+        the endpoints that were idle at that time, and to the others after the next
+        report.
         """
         self._response.add(own_change, change)
         self._report_weight = min(1.0, self._response.slope(1.0))
 
     def mean_other_calls(self, now: float) -> float:
-        """Return the calls of other entries at an average endpoint."""
+        """Return the mean number of calls of other entries at an endpoint."""
         return max(0.0, self.other_calls(now)) / max(1, self.size)
 
     def add_other_calls(self, now: float, calls: float) -> None:
-        """Add calls of other entries, or take them off when below 0."""
+        """Add calls of other entries; a negative number subtracts them."""
         self._other_calls = self.other_calls(now) + calls
         self._other_calls_at = max(self._other_calls_at, now)
 
     def replace_other_calls(self, now: float, old: float, new: float) -> None:
-        """Count an endpoint's calls of other entries anew."""
+        """Replace one endpoint's number of calls of other entries."""
         self._other_calls = self.other_calls(now) - old + new
         self._other_calls_at = max(self._other_calls_at, now)
 
     def other_calls(self, now: float) -> float:
-        """Return the calls of other entries; they fade like each endpoint's."""
+        """Return the calls of other entries, which decay as each endpoint's do."""
         return self._other_calls * other_calls_decay(now - self._other_calls_at)
 
     def wait_s(self, now: float, mean_s: float) -> float:
         """
-        Return the predicted wait of a new request, in seconds.
+        Return the predicted queueing time of a new request, in seconds.
 
-        Reports tell of calls at the endpoints only. When a burst begins, most of
-        it is still in earlier stages; other entries are taken to have as much on
-        the way, for each call at the endpoints, as this one has.
+        Reports count only the calls at the endpoints, while most requests of a
+        beginning burst are still in earlier stages. Other entries are assumed to have
+        the same ratio of pending requests to calls at the endpoints as this one.
         """
         if not self.capacity:
             return 0.0
-        ratio = self.pending / max(1, self.outstanding)
-        on_the_way = min(MOST_ON_THE_WAY, max(1.0, ratio))
-        others = max(0.0, self.other_calls(now)) * on_the_way
+        pending_ratio = self.pending / max(1, self.outstanding)
+        upstream_ratio = min(MAX_UPSTREAM_RATIO, max(1.0, pending_ratio))
+        others = max(0.0, self.other_calls(now)) * upstream_ratio
         ahead = self.pending + others + 1 - self.capacity
         return max(0.0, ahead) * mean_s / self.capacity
 
 
 def other_calls_decay(age_s: float) -> float:
-    """Return the share left of calls of other entries that were last heard of."""
-    return 0.5 ** (age_s / STALE_S) if age_s > 0 else 1.0
+    """Return the factor by which a number of calls decays after its last report."""
+    return 0.5 ** (age_s / OTHER_CALLS_HALF_LIFE_S) if age_s > 0 else 1.0
--- a/packages/policy/src/amaranthtally/policy/prefixes.py
+++ b/packages/policy/src/amaranthtally/policy/prefixes.py
@@ -1,4 +1,4 @@
-"""Which endpoints hold which cached prefix, as far as is known."""
+"""Index of the endpoints that are known to cache a prompt prefix."""
 
 from collections import OrderedDict
 from typing import NamedTuple
@@ -8,18 +8,18 @@
 __all__ = ["PrefixIndex", "PrefixMatch"]
 
 CAPACITY = 16_384
-HOLDERS = 3
-TRUSTED_S = 60.0
+MAX_HOLDERS = 3
+ENTRY_TTL_S = 60.0
 
 
 class _Holder(NamedTuple):
     endpoint: str
     epoch: int
-    at: float
+    added_at: float
 
 
 class PrefixMatch(NamedTuple):
-    """An endpoint and the share of a prefix that it holds, from 0 to 1."""
+    """An endpoint and the share of a prefix that it caches, from 0 to 1."""
 
     endpoint: str
     share: float
@@ -27,12 +27,13 @@
 
 class PrefixIndex:
     """
-    Prefix blocks and their latest holders, bounded, oldest dropped first.
+    The latest endpoints known to cache each prefix block, at most ``capacity`` blocks.
 
-    Cache events come late and with gaps. After a gap an eviction may have been
-    missed, and the endpoint would draw requests for a prefix that it has lost;
-    so a gap starts a new epoch for the endpoint, and older entries no longer
-    count. Entries also stop counting after ``TRUSTED_S`` seconds.
+    The least recently added block is dropped first. Cache events arrive late and may
+    be lost. After a gap an eviction may have been missed, and the endpoint would keep
+    attracting requests for a prefix that it no longer caches. A gap therefore starts a
+    new epoch of the endpoint, and entries of earlier epochs are ignored, as are
+    entries older than ``ENTRY_TTL_S``.
     """
 
     def __init__(self, capacity: int = CAPACITY) -> None:
@@ -45,15 +46,15 @@
         return len(self._holders)
 
     def add_run(self, now: float, endpoint: str, prefix: tuple[int, ...]) -> None:
-        """Note that an endpoint has just run a request with this prefix."""
+        """Add the blocks of a request that an endpoint has just run."""
         self._add(now, endpoint, prefix)
 
     def apply_event(self, now: float, endpoint: str, event: CacheEvent) -> None:
-        """Take an endpoint's cache event; one older than the last is ignored."""
-        last = self._serials.get(endpoint)
-        if last is not None and event.serial <= last:
+        """Apply an endpoint's cache event, unless a later one was applied already."""
+        last_serial = self._serials.get(endpoint)
+        if last_serial is not None and event.serial <= last_serial:
             return
-        if last is not None and event.serial != last + 1:
+        if last_serial is not None and event.serial != last_serial + 1:
             self.invalidate(endpoint)
         self._serials[endpoint] = event.serial
         for block in event.removed:
@@ -61,38 +62,39 @@
         self._add(now, endpoint, event.stored)
 
     def invalidate(self, endpoint: str) -> None:
-        """Trust nothing that was known of an endpoint's cache."""
+        """Ignore all present entries of an endpoint from now on."""
         self._epochs[endpoint] = self._epochs.get(endpoint, 0) + 1
 
     def matches(
         self, now: float, prefix: tuple[int, ...], sizes: tuple[int, ...] = ()
     ) -> list[PrefixMatch]:
         """
-        Return the holders of the longest known prefix, longest first.
+        Return the endpoints that cache the longest known prefix, longest first.
 
-        ``sizes`` weighs its blocks; without it they count alike.
+        ``sizes`` holds the weight of each block in the share; by default all blocks
+        have the same weight.
         """
-        found: dict[str, float] = {}
+        shares: dict[str, float] = {}
         sizes = sizes or (1,) * len(prefix)
-        whole = max(1, sum(sizes))
+        total = max(1, sum(sizes))
         for index in range(len(prefix) - 1, -1, -1):
             for holder in self._holders.get(prefix[index], ()):
-                if self._trusted(now, holder) and holder.endpoint not in found:
-                    found[holder.endpoint] = sum(sizes[: index + 1]) / whole
-            if len(found) >= HOLDERS:
+                if self._is_valid(now, holder) and holder.endpoint not in shares:
+                    shares[holder.endpoint] = sum(sizes[: index + 1]) / total
+            if len(shares) >= MAX_HOLDERS:
                 break
-        return [PrefixMatch(endpoint, share) for endpoint, share in found.items()]
+        return [PrefixMatch(endpoint, share) for endpoint, share in shares.items()]
 
-    def _trusted(self, now: float, holder: _Holder) -> bool:
+    def _is_valid(self, now: float, holder: _Holder) -> bool:
         current = holder.epoch == self._epochs.get(holder.endpoint, 0)
-        return current and now - holder.at <= TRUSTED_S
+        return current and now - holder.added_at <= ENTRY_TTL_S
 
     def _add(self, now: float, endpoint: str, blocks: tuple[int, ...]) -> None:
         new = _Holder(endpoint, self._epochs.get(endpoint, 0), now)
         for block in blocks:
             old = self._holders.pop(block, ())
             others = tuple(h for h in old if h.endpoint != endpoint)
-            self._holders[block] = (new, *others[: HOLDERS - 1])
+            self._holders[block] = (new, *others[: MAX_HOLDERS - 1])
         while len(self._holders) > self._capacity:
             self._holders.popitem(last=False)
 
@@ -100,8 +102,8 @@
         holders = self._holders.get(block)
         if holders is None:
             return
-        left = tuple(h for h in holders if h.endpoint != endpoint)
-        if left:
-            self._holders[block] = left
+        remaining = tuple(h for h in holders if h.endpoint != endpoint)
+        if remaining:
+            self._holders[block] = remaining
         else:
             del self._holders[block]
