--- a/packages/policy/src/amaranthtally/policy/affinity.py
+++ b/packages/policy/src/amaranthtally/policy/affinity.py
@@ -1,4 +1,4 @@
-"""Which engine reads a prompt: the one that holds its shared parts, unless busy."""
+"""Routes prompts to the engine that caches their shared parts, unless it is busy."""
 
 from amaranthtally.policy.events import Arrival
 from amaranthtally.policy.loads import EndpointLoad
@@ -9,42 +9,43 @@
 
 __all__ = ["AffinityRouter"]
 
-# Seconds in which an engine reads one token of a prompt: 32 tokens in a millisecond,
-# from the users' sheet of their engines.
-READ_S_PER_TOKEN = 1.0 / 32_400
-# By how much one more running request delays the first token of the next, in seconds:
-# a step of 6 ms becomes 0.4 in 100 longer for each, and a prompt waits for a few.
-CROWD_S = 0.002
-# What a byte of a result costs that crosses data centres, as a delay in seconds: a
-# result of 1.5 MB counts like 0.015 s. By the users' prices it costs a sixth of what
-# reading the shared parts of its prompt once more does.
-CROSSING_S_PER_BYTE = 0.01e-6
-# The share of its shared parts that the engine to which a prompt belongs is taken to
-# hold though nobody remembers it. Entries that know nothing of each other then still
-# send one part to one engine; it goes elsewhere where reading it once more is sooner
-# than waiting, which a burst for one session makes it.
-PLACE_SHARE = 0.8
-# What each further place counts, in seconds: enough to decide between equals.
-PLACE_S = 0.001
-# What a failed attempt costs its caller, in seconds: the retry waits for new inputs.
-FAILURE_S = 1.0
-NOTHING_KNOWN = StageStats()
+# Time in which an engine prefills one token of a prompt, in seconds: 32 tokens per
+# millisecond, from the users' data sheet of their engines.
+PREFILL_S_PER_TOKEN = 1.0 / 32_400
+# Time by which each running request delays the first token of a new one, in seconds: it
+# lengthens an engine step of 6 ms by 0.4%, and a prompt waits for a few steps.
+CONCURRENCY_DELAY_S = 0.002
+# Cost of a byte of a result that is transferred between data centres, as a delay in
+# seconds: a result of 1.5 MB counts as 0.015 s. At the users' prices its transfer costs
+# a sixth of prefilling the shared parts of its prompt once more.
+TRANSFER_S_PER_BYTE = 0.01e-6
+# Share of a prompt's shared parts that the engine ranked first is assumed to cache even
+# if the prefix index has no entry. Entries that know nothing of each other's requests
+# thus send a shared part to the same engine. Another engine is chosen where prefilling
+# the part once more takes less time than waiting, as in a burst for one session.
+FIRST_RANK_SHARE = 0.8
+# Penalty for each further rank, in seconds: just enough to decide between equals.
+RANK_PENALTY_S = 0.001
+# Cost of a failed attempt to its caller, in seconds: the retry waits for new inputs.
+FAILURE_PENALTY_S = 1.0
+DEFAULT_STATS = StageStats()
 
 
 class AffinityRouter(Router):
     """
-    Chooses engines by the time to the first token, and others as ``Router`` does.
+    Chooses engines by the time to the first token, other endpoints like ``Router``.
 
-    A shared part that was read once is read again by no other engine: on the users'
-    sheet a long prompt takes 0.28 s to read and its own part a third of that.
+    A shared part that one engine has prefilled should not be prefilled by another: by
+    the users' data sheet, prefilling a long prompt takes 0.28 s, and the part that is
+    not shared takes a third of that.
     """
 
     def predicted_data_centre(self, now: float, arrival: Arrival) -> str:
-        """Return where the engine stands that a request's prompt belongs to."""
+        """Return the data centre of the engine that a request's prompt would get."""
         if not arrival.prefix:
             return ""
         stage = arrival.pipeline.stages[-1]
-        wanted = RouteRequest(
+        request = RouteRequest(
             stage,
             arrival.deadline,
             arrival.deadline,
@@ -53,34 +54,34 @@
             arrival.prefix,
             prefix_sizes=arrival.prefix_sizes,
         )
-        choice = self._choose_engine(now, wanted, NOTHING_KNOWN)
+        choice = self._choose_engine(now, request, DEFAULT_STATS)
         return "" if choice is None else choice.endpoint.data_centre
 
     def choose(
-        self, now: float, wanted: RouteRequest, stats: StageStats
+        self, now: float, request: RouteRequest, stats: StageStats
     ) -> Choice | None:
-        """Return the best candidate, or ``None`` when the pool takes no work."""
-        if not wanted.prefix:
-            return super().choose(now, wanted, stats)
-        return self._choose_engine(now, wanted, stats)
+        """Return the best candidate, or ``None`` when no endpoint takes work."""
+        if not request.prefix:
+            return super().choose(now, request, stats)
+        return self._choose_engine(now, request, stats)
 
     def _choose_engine(
-        self, now: float, wanted: RouteRequest, stats: StageStats
+        self, now: float, request: RouteRequest, stats: StageStats
     ) -> Choice | None:
-        regions = self._groups.candidates(wanted.stage)
+        regions = self._groups.candidates(request.stage)
         group = [endpoint for members in regions.values() for endpoint in members]
-        usable = self._usable(now, group, wanted)
-        matches = self._prefixes.matches(now, wanted.prefix, wanted.prefix_sizes)
-        held = {match.endpoint: match.share for match in matches}
-        places = self._places(wanted, usable)
-        owned = PLACE_SHARE * _shared_share(wanted.prefix_sizes)
+        usable = self._usable(now, group, request)
+        matches = self._prefixes.matches(now, request.prefix, request.prefix_sizes)
+        cached_shares = {match.endpoint: match.share for match in matches}
+        ranks = self._ranks(request, usable)
+        first_rank_share = FIRST_RANK_SHARE * _shared_share(request.prefix_sizes)
         best: Choice | None = None
         for load in usable:
-            place = places[load.endpoint.id]
-            known = held.get(load.endpoint.id, 0.0)
-            share = known if place else max(known, owned)
-            place_s = PLACE_S * place
-            choice = self._predict(now, wanted, stats, load, share, place_s)
+            rank = ranks[load.endpoint.id]
+            known = cached_shares.get(load.endpoint.id, 0.0)
+            share = known if rank else max(known, first_rank_share)
+            penalty_s = RANK_PENALTY_S * rank
+            choice = self._predict(now, request, stats, load, share, penalty_s)
             if best is None or choice.score < best.score:
                 best = choice
         return best
@@ -88,39 +89,43 @@
     def _predict(
         self,
         now: float,
-        wanted: RouteRequest,
+        request: RouteRequest,
         stats: StageStats,
         load: EndpointLoad,
         share: float,
-        place_s: float,
+        penalty_s: float,
     ) -> Choice:
         occupancy = load.occupancy(now)
-        before = self.round_trip_s(load.endpoint.region)
+        delay_s = self.round_trip_s(load.endpoint.region)
         if occupancy + 1 > load.limit:
-            before += load.wait_s(occupancy, stats.mean_s)
-        tokens = load.pending_prefill_tokens + sum(wanted.prefix_sizes) * (1.0 - share)
-        read_s = (tokens * READ_S_PER_TOKEN + CROWD_S * occupancy) * load.slowness(now)
-        away_s = CROSSING_S_PER_BYTE * sum(
+            delay_s += load.wait_s(occupancy, stats.mean_s)
+        tokens = load.pending_prefill_tokens + sum(request.prefix_sizes) * (1.0 - share)
+        prefill_s = (
+            tokens * PREFILL_S_PER_TOKEN + CONCURRENCY_DELAY_S * occupancy
+        ) * load.slowness(now)
+        transfer_s = TRANSFER_S_PER_BYTE * sum(
             result.size_bytes
-            for result in wanted.inputs
+            for result in request.inputs
             if result.data_centre != load.endpoint.data_centre
         )
-        failing = load.failure_rate(now)
-        score = before + read_s + away_s + place_s + FAILURE_S * failing
-        beside = load.concurrent(occupancy)
-        run_s = stats.loaded_mean_s(beside) * load.slowness(now)
-        return Choice(load.endpoint, before, run_s, beside, share, failing, 0.0, score)
+        risk = load.failure_rate(now)
+        score = delay_s + prefill_s + transfer_s + penalty_s + FAILURE_PENALTY_S * risk
+        concurrent = load.concurrent(occupancy)
+        run_s = stats.loaded_mean_s(concurrent) * load.slowness(now)
+        return Choice(
+            load.endpoint, delay_s, run_s, concurrent, share, risk, 0.0, score
+        )
 
-    def _places(
-        self, wanted: RouteRequest, usable: list[EndpointLoad]
+    def _ranks(
+        self, request: RouteRequest, usable: list[EndpointLoad]
     ) -> dict[str, int]:
-        """Return each engine's place for the prompt, from 0."""
-        # The last part is the request's own: the one before it is what it shares.
-        shared = wanted.prefix[-2] if len(wanted.prefix) > 1 else wanted.prefix[0]
+        """Return each engine's rendezvous rank for the prompt, from 0."""
+        # The last part belongs to the request alone; the one before it is shared.
+        shared = request.prefix[-2] if len(request.prefix) > 1 else request.prefix[0]
         key = f"{shared:x}"
         ids = [load.endpoint.id for load in usable]
         ranked = sorted(ids, key=lambda name: rendezvous_weight(name, key))
-        return {name: place for place, name in enumerate(ranked)}
+        return {name: rank for rank, name in enumerate(ranked)}
 
 
 def _shared_share(sizes: tuple[int, ...]) -> float:
--- a/packages/policy/src/amaranthtally/policy/membership.py
+++ b/packages/policy/src/amaranthtally/policy/membership.py
@@ -191,7 +191,7 @@
 
 
 def _due(now: float, requested_at: dict[str, float]) -> list[str]:
-    """Return the endpoints that are due for a load request, and note that it is sent."""
+    """Return the endpoints due for a load request, and note that it is sent."""
     waiting = (
         name for name, at in requested_at.items() if now - at >= LOAD_REQUEST_INTERVAL_S
     )
--- a/packages/policy/src/amaranthtally/policy/scoring.py
+++ b/packages/policy/src/amaranthtally/policy/scoring.py
@@ -1,4 +1,4 @@
-"""What an attempt is predicted to take and cost at each candidate endpoint."""
+"""Predicts the time, risk and price of an attempt at each candidate endpoint."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,15 +12,17 @@
 
 TIME_WEIGHT = 0.1
 BYTES_PER_GB = 1e9
-LEAST_PRICE = 1e-12
+MIN_RUN_PRICE = 1e-12
 
 
 class RouteRequest(NamedTuple):
     """
-    An attempt that wants an endpoint.
+    An attempt for which an endpoint is to be chosen.
 
-    ``end`` is the stage's share of the deadline and ``latest_end`` the time
-    after which the request as a whole is late, both as time stamps.
+    ``target_end`` is the end of the stage's share of the deadline and ``latest_end``
+    the time after which the whole request would be late, both as time stamps.
+    ``weight`` is that of attainment against cost, from 0 to 1. Endpoints in
+    ``excluded`` are not chosen.
     """
 
     stage: Stage
@@ -36,13 +38,14 @@
 
 class Choice(NamedTuple):
     """
-    An endpoint, and what is predicted of an attempt there.
-
-    ``delay_s`` is spent waiting and on the way, ``run_s`` running beside
-    ``beside`` other calls with a share of its prefix ``cached``; ``risk`` is the
-    probability of ending too late, ``price`` in units of the stage's typical run.
-    A tuple: one is made for each candidate, and a data class takes five times as
-    long to make.
+    An endpoint, and the predictions for an attempt there.
+
+    ``delay_s`` is the time in the queue and on the network, ``run_s`` the run time
+    with ``concurrent`` other calls and ``cached_share`` of the prefix in the cache.
+    ``risk`` is the probability that the attempt fails or ends too late. ``price`` is
+    in units of the price of the stage's mean run. The choice with the lowest ``score``
+    is the best. One is created for each candidate: creating a named tuple takes a fifth
+    of the time of creating a data class.
     """
 
     endpoint: Endpoint
@@ -56,7 +59,7 @@
 
 
 class NetworkCosts(NamedTuple):
-    """Where an entry stands, what traffic to elsewhere costs, the way there."""
+    """An entry's region, the price of traffic to others, and the round-trip times."""
 
     region: str
     per_gb: float
@@ -64,72 +67,78 @@
 
 
 class CandidateScorer:
-    """Weighs the candidates of one attempt; what they share is worked out once."""
+    """Scores the candidates of one attempt; their common terms are computed once."""
 
     __slots__ = (
-        "_left",
+        "_mean_price",
         "_mean_s",
+        "_network",
         "_now",
         "_per_s",
-        "_prices",
         "_stats",
-        "_traffic",
-        "_unit",
-        "_until_end",
+        "_traffic_price",
+        "_until_latest_s",
+        "_until_target_s",
         "_weight",
     )
 
     def __init__(
-        self, now: float, wanted: RouteRequest, stats: StageStats, prices: NetworkCosts
+        self,
+        now: float,
+        request: RouteRequest,
+        stats: StageStats,
+        network: NetworkCosts,
     ) -> None:
         self._now = now
         self._stats = stats
-        self._prices = prices
+        self._network = network
         self._mean_s = stats.mean_s
-        self._weight = wanted.weight
-        self._until_end = wanted.target_end - now
-        self._left = max(wanted.latest_end - now, self._mean_s)
-        self._per_s = wanted.stage.price_per_s
-        self._unit = max(self._mean_s * self._per_s, LEAST_PRICE)
-        traffic = wanted.input_bytes + stats.output_bytes
-        self._traffic = traffic / BYTES_PER_GB * prices.per_gb
-
-    def evaluate(self, load: EndpointLoad, cached: float) -> Choice:
-        """Return what is predicted of an endpoint that holds a share of the prefix."""
+        self._weight = request.weight
+        self._until_target_s = request.target_end - now
+        self._until_latest_s = max(request.latest_end - now, self._mean_s)
+        self._per_s = request.stage.price_per_s
+        self._mean_price = max(self._mean_s * self._per_s, MIN_RUN_PRICE)
+        traffic_bytes = request.input_bytes + stats.output_bytes
+        self._traffic_price = traffic_bytes / BYTES_PER_GB * network.per_gb
+
+    def evaluate(self, load: EndpointLoad, cached_share: float) -> Choice:
+        """Return the predictions for an endpoint that caches a share of the prefix."""
         stats = self._stats
         now = self._now
         region = load.endpoint.region
         occupancy = load.occupancy(now)
-        beside = load.concurrent(occupancy)
+        concurrent = load.concurrent(occupancy)
         slowness = load.slowness(now)
-        run = stats.loaded_mean_s(beside) * slowness
-        if cached:
-            run *= stats.cached_factor(cached)
-        before = self._prices.round_trip_s(region)
+        run_s = stats.loaded_mean_s(concurrent) * slowness
+        if cached_share:
+            run_s *= stats.cached_factor(cached_share)
+        delay_s = self._network.round_trip_s(region)
         if occupancy + 1 > load.limit:
-            full = stats.loaded_mean_s(load.limit - 1) * slowness
-            before += load.wait_s(occupancy, full)
-        # The sketch holds runs beside the usual number of calls: a run that is
-        # predicted to be longer or shorter shifts it.
-        shift = run / self._mean_s
-        late = stats.tail((self._until_end - before) / shift)
+            full_run_s = stats.loaded_mean_s(load.limit - 1) * slowness
+            delay_s += load.wait_s(occupancy, full_run_s)
+        # The distribution of run times is that of the usual concurrency; it is scaled
+        # by the ratio of the predicted run time to the mean.
+        scale = run_s / self._mean_s
+        late = stats.tail((self._until_target_s - delay_s) / scale)
         risk = 1.0 - (1.0 - late) * (1.0 - load.failure_rate(now))
-        price = self._price(region, run + stats.added_delay_s(beside))
+        price = self._price(region, run_s + stats.added_delay_s(concurrent))
         score = (
             self._weight * risk
             + (1.0 - self._weight) * price
-            + TIME_WEIGHT * (before + run) / self._left
+            + TIME_WEIGHT * (delay_s + run_s) / self._until_latest_s
+        )
+        return Choice(
+            load.endpoint, delay_s, run_s, concurrent, cached_share, risk, price, score
         )
-        return Choice(load.endpoint, before, run, beside, cached, risk, price, score)
 
     def _price(self, region: str, busy_s: float) -> float:
         """
-        Return the price of a run and its traffic in units of a typical run.
+        Return the price of a run and its traffic in units of the price of a mean run.
 
-        ``busy_s`` holds what the run costs those beside it: an engine that looks
-        free because it batches makes every call in the batch dearer.
+        ``busy_s`` includes the time by which the run delays concurrent calls: an engine
+        that batches has free slots, yet each call slows down the others in the batch.
         """
         price = busy_s * self._per_s
-        if region != self._prices.region:
-            price += self._traffic
-        return price / self._unit
+        if region != self._network.region:
+            price += self._traffic_price
+        return price / self._mean_price
