--- a/packages/policy/src/amaranthtally/policy/batcher.py
+++ b/packages/policy/src/amaranthtally/policy/batcher.py
@@ -1,13 +1,18 @@
-"""Which pieces share a call, and in which order: one entry decides for an endpoint."""
+"""
+Batches the pieces of all entries into calls at an endpoint.
+
+One entry owns each pool site, a pool's endpoints in one data centre, and decides for
+all entries which pieces share a call there and in which order.
+"""
 
 from collections.abc import Iterable, Mapping
 
 from amaranthtally.policy.actions import Action, FreeResults, RunPieces
-from amaranthtally.policy.batches import (
-    Batches,
+from amaranthtally.policy.batcher_effects import (
+    BatcherEffects,
     PieceCall,
     piece_order,
-    unmade_requests,
+    requests_to_retry,
 )
 from amaranthtally.policy.call_filling import CallFill, FillCall, fill_call
 from amaranthtally.policy.input_reads import InputReads
@@ -25,28 +30,31 @@
 from amaranthtally.policy.routes import Pool
 from amaranthtally.policy.site_queue import SiteQueue
 
-__all__ = ["Batcher", "Batches"]
+__all__ = ["Batcher", "BatcherEffects"]
 
-# How long an idle endpoint is left idle for more pieces to come, in seconds. The end of
-# one call makes pieces of several requests due at the next pool, in several entries,
-# within the way between them: the first, sent alone, would make the others wait for
-# a whole call of 0.2 s and more.
+# How long an idle endpoint waits for more pieces before it is sent a call that is not
+# full, in seconds. When a call ends, pieces of several requests become due at the next
+# pool. Their entries submit them within one network delay of each other. If the first
+# were sent alone, the others would wait for a whole call, which takes 0.2 s or more.
 LINGER_S = 0.012
-# How long pieces wait for an endpoint that fails before they are given back to be
-# asked for elsewhere, in seconds: two tries of an endpoint that only was full.
-GIVE_BACK_S = 0.5
+# How long pieces stay queued while no endpoint of the site takes calls, in seconds.
+# Then they are reported as failed, so that their submitters can try another data
+# centre. An endpoint that was only full is tried twice in this time.
+GIVE_UP_S = 0.5
 
 
 class Batcher:
     """
-    Makes the pieces that all entries want of the endpoints that this one calls.
-
-    An endpoint for pieces takes as long for a call with one piece as for a call
-    with several, and one call at a time. So it gets one call at a time, and whatever
-    becomes due meanwhile shares the next: with a call for each request, three
-    endpoints would do thirteen requests a second, with shared ones sixty pieces. And
-    one entry calls it for all: entries that know nothing of each other fill its queue
-    and its memory, and a fifth of what they send is turned away.
+    Runs the jobs of all entries at the endpoints that this entry calls.
+
+    An endpoint for pieces runs one call at a time, and a call with one piece takes
+    about as long as a call with several. So each endpoint is sent one call at a time,
+    and the pieces that become due meanwhile share the next call. With a call for each
+    request, three endpoints serve thirteen requests a second; with shared calls they
+    compute sixty pieces a second.
+
+    One entry calls an endpoint on behalf of all entries. Entries that call it without
+    coordination fill its queue and its memory, and it refuses a fifth of their calls.
     """
 
     def __init__(
@@ -59,10 +67,10 @@
         self._fill = fill
         self._linger_s = linger_s
         self._queues: dict[tuple[str, str], SiteQueue] = {}
-        # Pieces that wait or run, so that none is taken twice.
-        self._known: set[Piece] = set()
+        # Pieces that are queued or in a call; a piece submitted again is not run twice.
+        self._pending: set[Piece] = set()
         self._calls: dict[int, PieceCall] = {}
-        self._reads = InputReads()
+        self._input_reads = InputReads()
         self._next_call = 0
 
     @property
@@ -72,13 +80,13 @@
 
     @property
     def waiting(self) -> int:
-        """Pieces that were asked for and not sent."""
+        """How many pieces are queued and not yet in a call."""
         return sum(len(queue) for queue in self._queues.values())
 
     @property
     def is_busy(self) -> bool:
-        """Whether anything here waits for the passing of time."""
-        return bool(self._reads) or any(self._queues.values())
+        """Whether ``tick`` has anything to do: queued pieces, or inputs to free."""
+        return bool(self._input_reads) or any(self._queues.values())
 
     def configure(
         self, endpoints: Mapping[str, Endpoint], pools: Mapping[str, Pool]
@@ -88,10 +96,11 @@
 
     def wait_s(self, now: float, pool: str, data_centre: str, rank: int) -> float:
         """
-        Return how long a piece asked for now would wait for its call to begin.
+        Return how long a piece submitted now would wait for its call to begin.
 
-        Only those that go before one of its rank count: with all of them, urgent
-        requests left a place to the less urgent that would have let them pass.
+        Counts only queued pieces of the same or a more urgent rank. When all were
+        counted, urgent requests avoided a site whose queue held only less urgent
+        pieces, although those would have been overtaken.
         """
         servers = self._servers.at(pool, data_centre)
         if not servers:
@@ -113,182 +122,190 @@
 
     # Events
 
-    def take(self, now: float, asks: Iterable[PieceJob]) -> Batches:
+    def take(self, now: float, jobs: Iterable[PieceJob]) -> BatcherEffects:
         """
-        Take pieces, and send what can be sent.
+        Queue jobs, and send the calls that are due.
 
-        One that waits or runs already is not taken twice: an entry that has heard
-        nothing of it for long asks once more, as the word of its end may be lost.
+        A job whose piece is queued or running already is ignored: an entry that gets no
+        report for too long submits the job again, since the report may have been lost.
         """
-        places: dict[tuple[str, str], None] = {}
-        for ask in asks:
-            if ask.piece in self._known:
+        sites: dict[tuple[str, str], None] = {}
+        for job in jobs:
+            if job.piece in self._pending:
                 continue
-            self._queue(now, ask)
-            places[ask.pool, ask.data_centre] = None
-        batches = Batches()
-        for place in places:
-            self._flush(now, place, batches)
-        return batches
-
-    def ended(self, now: float, call_id: int, end: PiecesEnded) -> Batches:
-        """Take the end of a call; its endpoint can have the next one."""
+            self._queue(now, job)
+            sites[job.pool, job.data_centre] = None
+        effects = BatcherEffects()
+        for site in sites:
+            self._flush(now, site, effects)
+        return effects
+
+    def call_ended(self, now: float, call_id: int, end: PiecesEnded) -> BatcherEffects:
+        """Process the end of a call, and send its endpoint the next one."""
         call = self._calls.pop(call_id)
-        self._known.difference_update(ask.piece for ask in call.asks)
+        self._pending.difference_update(job.piece for job in call.jobs)
         server = self._servers.find(call.endpoint)
         if server is not None:
             self._note_end(now, server, call_id, end)
-        batches = Batches()
-        freed = call.whole - self._reads.keep(call_id, unmade_requests(call, end))
+        effects = BatcherEffects()
+        freed = call.complete_requests - self._input_reads.cancel(
+            call_id, requests_to_retry(call, end)
+        )
         if end.outcomes:
-            for ask, outcome in zip(call.asks, end.outcomes, strict=True):
-                has_freed = ask.piece.request_id in freed
+            for job, outcome in zip(call.jobs, end.outcomes, strict=True):
+                inputs_freed = job.piece.request_id in freed
                 self._take_outcome(
-                    now, call.endpoint, server, ask, outcome, has_freed, batches
+                    now, call.endpoint, server, job, outcome, inputs_freed, effects
                 )
         else:
-            for ask in call.asks:
-                has_freed = ask.piece.request_id in freed
-                self._call_failed(now, ask, end, has_freed, batches)
-        place = (call.asks[0].pool, call.asks[0].data_centre)
-        self._flush(now, place, batches)
-        return batches
-
-    def tick(self, now: float) -> Batches:
-        """Send what waited for an endpoint; give back what waits for a failed one."""
-        batches = Batches()
-        batches.read += self._reads.take_read(now)
-        for place, queue in self._queues.items():
+            for job in call.jobs:
+                inputs_freed = job.piece.request_id in freed
+                self._take_call_failure(now, job, end, inputs_freed, effects)
+        site = (call.jobs[0].pool, call.jobs[0].data_centre)
+        self._flush(now, site, effects)
+        return effects
+
+    def tick(self, now: float) -> BatcherEffects:
+        """
+        Send the calls that have become due, and free inputs that have been read.
+
+        Jobs at a site where no endpoint takes calls are reported as failed.
+        """
+        effects = BatcherEffects()
+        effects.consumed += self._input_reads.take_read(now)
+        for site, queue in self._queues.items():
             if queue:
-                self._flush(now, place, batches)
-        return batches
+                self._flush(now, site, effects)
+        return effects
 
-    def hand_back(self) -> Batches:
-        """Let askers ask another entry for what waits, as this one leaves."""
-        waiting = [w for queue in self._queues.values() for w in queue]
+    def hand_back(self) -> BatcherEffects:
+        """Return queued jobs to their submitters, as this entry shuts down."""
+        queued_pieces = [queued for queue in self._queues.values() for queued in queue]
         self._queues.clear()
-        self._forget(waiting)
-        return self.refuse(w.ask for w in waiting)
-
-    def refuse(self, asks: Iterable[PieceJob]) -> Batches:
-        """Let askers ask another entry, as this one makes no pieces for them."""
-        batches = Batches()
-        for ask in asks:
-            told = PieceReport(
-                ask.piece, ask.pool, ask.data_centre, fault=PieceFault.HANDED_BACK
+        self._remove_pending(queued_pieces)
+        return self.refuse(queued.job for queued in queued_pieces)
+
+    def refuse(self, jobs: Iterable[PieceJob]) -> BatcherEffects:
+        """Return jobs to their submitters, who submit them to another entry."""
+        effects = BatcherEffects()
+        for job in jobs:
+            report = PieceReport(
+                job.piece, job.pool, job.data_centre, fault=PieceFault.HANDED_BACK
             )
-            batches.told.setdefault(ask.asker, []).append(told)
-        return batches
+            effects.reports.setdefault(job.submitter, []).append(report)
+        return effects
 
     def withdraw(self, request_id: str) -> None:
-        """Make no more pieces of a request that has ended."""
+        """Remove the queued pieces of a request that has ended."""
         for queue in self._queues.values():
-            self._forget(queue.take_request(request_id))
+            self._remove_pending(queue.take_request(request_id))
 
     def free(self, now: float, results: Iterable[StoredResult]) -> list[Action]:
-        """Have results dropped by their makers."""
+        """Return the actions by which endpoints delete stored results."""
         by_endpoint: dict[str, list[str]] = {}
-        held_s: dict[str, float] = {}
+        stored_s: dict[str, float] = {}
         for result in results:
             name = result.endpoint
             server = self._servers.find(name)
             if server is not None:
-                kept_s = server.freed(now, result.handle)
-                held_s[name] = max(held_s.get(name, 0.0), kept_s)
+                result_stored_s = server.note_freed(now, result.handle)
+                stored_s[name] = max(stored_s.get(name, 0.0), result_stored_s)
                 by_endpoint.setdefault(name, []).append(result.handle)
         return [
-            FreeResults(name, tuple(handles), held_s[name])
+            FreeResults(name, tuple(handles), stored_s[name])
             for name, handles in by_endpoint.items()
         ]
 
-    # Ends
+    # Ends of calls
 
     def _note_end(
         self, now: float, server: PieceServer, call_id: int, end: PiecesEnded
     ) -> None:
-        made_all = bool(end.outcomes) and all(one.handle for one in end.outcomes)
-        server.ended(now, call_id, made_all)
+        has_all_results = bool(end.outcomes) and all(o.handle for o in end.outcomes)
+        server.note_ended(now, call_id, has_all_results)
         if end.running is not None:
             server.note_load(now, end.running, end.queued)
         if end.outcomes:
-            server.succeeded()
+            server.note_success()
         else:
-            server.failed(now)
+            server.note_failure(now)
 
     def _take_outcome(
         self,
         now: float,
         endpoint: str,
         server: PieceServer | None,
-        ask: PieceJob,
+        job: PieceJob,
         outcome: PieceOutcome,
-        has_freed: bool,
-        batches: Batches,
+        inputs_freed: bool,
+        effects: BatcherEffects,
     ) -> None:
         if outcome.fault is PieceFault.NO_ROOM:
             if server is not None:
-                server.had_no_room(now)
-            if not has_freed:
-                self._queue(now, ask)
+                server.note_full(now)
+            if not inputs_freed:
+                self._queue(now, job)
                 return
             outcome = PieceOutcome(fault=PieceFault.INPUT_MISSING)
         if server is not None and outcome.handle:
-            server.keeps(now, outcome.handle, ask.result_bytes)
-        self._tell(now, ask, endpoint, outcome, batches, has_freed)
+            server.note_stored(now, outcome.handle, job.result_bytes)
+        self._report(now, job, endpoint, outcome, effects, inputs_freed)
 
-    def _call_failed(
+    def _take_call_failure(
         self,
         now: float,
-        ask: PieceJob,
+        job: PieceJob,
         end: PiecesEnded,
-        has_freed: bool,
-        batches: Batches,
+        inputs_freed: bool,
+        effects: BatcherEffects,
     ) -> None:
-        if end.refused and not has_freed:
-            self._queue(now, ask)
+        if end.refused and not inputs_freed:
+            self._queue(now, job)
         else:
             outcome = PieceOutcome(fault=PieceFault.FAILED)
-            self._tell(now, ask, "", outcome, batches, has_freed)
+            self._report(now, job, "", outcome, effects, inputs_freed)
 
-    def _queue(self, now: float, ask: PieceJob) -> None:
-        place = (ask.pool, ask.data_centre)
-        self._known.add(ask.piece)
-        self._queues.setdefault(place, SiteQueue()).add(QueuedPiece(ask, now))
+    def _queue(self, now: float, job: PieceJob) -> None:
+        site = (job.pool, job.data_centre)
+        self._pending.add(job.piece)
+        self._queues.setdefault(site, SiteQueue()).add(QueuedPiece(job, now))
 
-    def _forget(self, several: Iterable[QueuedPiece]) -> None:
-        self._known.difference_update(waiting.ask.piece for waiting in several)
+    def _remove_pending(self, queued_pieces: Iterable[QueuedPiece]) -> None:
+        self._pending.difference_update(queued.job.piece for queued in queued_pieces)
 
-    def _tell(
+    def _report(
         self,
         now: float,
-        ask: PieceJob,
+        job: PieceJob,
         endpoint: str,
         outcome: PieceOutcome,
-        batches: Batches,
+        effects: BatcherEffects,
         inputs_freed: bool = False,
     ) -> None:
-        told = PieceReport(
-            ask.piece,
-            ask.pool,
-            ask.data_centre,
+        report = PieceReport(
+            job.piece,
+            job.pool,
+            job.data_centre,
             endpoint,
             outcome.handle,
             outcome.fault,
-            self.wait_s(now, ask.pool, ask.data_centre, ask.priority),
+            self.wait_s(now, job.pool, job.data_centre, job.priority),
             inputs_freed,
-            self.slowdown_s(now, ask.pool, ask.data_centre),
+            self.slowdown_s(now, job.pool, job.data_centre),
         )
-        batches.told.setdefault(ask.asker, []).append(told)
+        effects.reports.setdefault(job.submitter, []).append(report)
 
     # Calls
 
-    def _flush(self, now: float, place: tuple[str, str], batches: Batches) -> None:
-        """Give each endpoint that is free the most urgent pieces."""
-        queue = self._queues.get(place)
+    def _flush(
+        self, now: float, site: tuple[str, str], effects: BatcherEffects
+    ) -> None:
+        """Send each free endpoint a call with the most urgent pieces, if one is due."""
+        queue = self._queues.get(site)
         if not queue:
             return
-        self._tell_fault(now, queue.take_late(now), PieceFault.LATE, batches)
-        servers = self._servers.at(*place)
+        self._report_fault(now, queue.take_late(now), PieceFault.LATE, effects)
+        servers = self._servers.at(*site)
         for server in servers:
             if not queue:
                 return
@@ -297,16 +314,16 @@
                     now, queue.waiting, server.limits, server.free_bytes(now)
                 )
                 if fill.pieces:
-                    batches.actions.append(self._send(now, server, queue, fill))
-        self._drop_crowded_out(now, queue, servers, batches)
+                    effects.actions.append(self._send(now, server, queue, fill))
+        self._refuse_crowded_out(now, queue, servers, effects)
         if not any(server.is_usable(now) for server in servers):
-            self._give_back(now, queue, not servers, batches)
+            self._give_up(now, queue, not servers, effects)
 
     def _is_due(self, now: float, server: PieceServer, queue: SiteQueue) -> bool:
-        """Whether there is enough for a call, or a piece has waited for others."""
+        """Whether the queue fills a call, or a piece has waited for the linger time."""
         if len(queue) >= server.limits.batch:
             return True
-        return any(now - waiting.since >= self._linger_s for waiting in queue)
+        return any(now - queued.queued_at >= self._linger_s for queued in queue)
 
     def _send(
         self,
@@ -317,59 +334,62 @@
     ) -> RunPieces:
         self._next_call += 1
         queue.remove(fill.pieces)
-        asks = tuple(waiting.ask for waiting in fill.pieces)
+        jobs = tuple(queued.job for queued in fill.pieces)
         is_only_caller = server.is_only_caller(now)
-        timeout_s = server.timeout_s(now, len(asks))
-        size = sum(ask.result_bytes for ask in asks)
-        server.sent(now, self._next_call, len(asks), size)
-        whole = (
-            self._reads.note(now, self._next_call, asks)
+        timeout_s = server.timeout_s(now, len(jobs))
+        result_bytes = sum(job.result_bytes for job in jobs)
+        server.note_sent(now, self._next_call, len(jobs), result_bytes)
+        complete_requests = (
+            self._input_reads.add(now, self._next_call, jobs)
             if is_only_caller
             else frozenset()
         )
-        self._calls[self._next_call] = PieceCall(server.endpoint.id, asks, whole)
-        orders = tuple(piece_order(ask) for ask in asks)
+        self._calls[self._next_call] = PieceCall(
+            server.endpoint.id, jobs, complete_requests
+        )
+        orders = tuple(piece_order(job) for job in jobs)
         return RunPieces(
             self._next_call, server.endpoint.id, orders, timeout_s, fill.facts
         )
 
-    def _drop_crowded_out(
+    def _refuse_crowded_out(
         self,
         now: float,
         queue: SiteQueue,
         servers: list[PieceServer],
-        batches: Batches,
+        effects: BatcherEffects,
     ) -> None:
         """
-        Refuse late requests at once where those on time leave them no place.
+        Refuse late requests at once if requests on time fill the next calls.
 
-        Kept, they would wait to the end of their time and be refused then: their
-        callers learn nothing for seconds, and can't come back when there is room.
-        Those that have been begun are kept, as what was made of them would be wasted.
+        If they stayed queued, they would only be refused when their deadline passes.
+        Their callers would get no answer for seconds and could not retry when there
+        is capacity again. Requests that were started stay queued, as the pieces
+        that have been computed for them would be wasted.
         """
-        places = sum(server.limits.batch for server in servers)
-        if queue.on_time(now) >= places:
+        capacity = sum(server.limits.batch for server in servers)
+        if queue.on_time(now) >= capacity:
             late = self._take_crowded_out(now, queue)
-            self._tell_fault(now, late, PieceFault.LATE, batches)
+            self._report_fault(now, late, PieceFault.LATE, effects)
 
     def _take_crowded_out(self, now: float, queue: SiteQueue) -> list[QueuedPiece]:
-        return queue.take_late_unbegun(now)
+        return queue.take_late_unstarted(now)
 
-    def _give_back(
-        self, now: float, queue: SiteQueue, at_once: bool, batches: Batches
+    def _give_up(
+        self, now: float, queue: SiteQueue, at_once: bool, effects: BatcherEffects
     ) -> None:
-        """Let pieces be asked for elsewhere, as no endpoint here takes them."""
-        kept_s = 0.0 if at_once else GIVE_BACK_S
-        given = queue.take(lambda waiting: now - waiting.since >= kept_s)
-        self._tell_fault(now, given, PieceFault.FAILED, batches)
+        """Report jobs that no endpoint takes as failed, so that they run elsewhere."""
+        least_wait_s = 0.0 if at_once else GIVE_UP_S
+        given_up = queue.take(lambda queued: now - queued.queued_at >= least_wait_s)
+        self._report_fault(now, given_up, PieceFault.FAILED, effects)
 
-    def _tell_fault(
+    def _report_fault(
         self,
         now: float,
-        several: list[QueuedPiece],
+        queued_pieces: list[QueuedPiece],
         fault: PieceFault,
-        batches: Batches,
+        effects: BatcherEffects,
     ) -> None:
-        self._forget(several)
-        for waiting in several:
-            self._tell(now, waiting.ask, "", PieceOutcome(fault=fault), batches)
+        self._remove_pending(queued_pieces)
+        for queued in queued_pieces:
+            self._report(now, queued.job, "", PieceOutcome(fault=fault), effects)
--- a/packages/policy/src/amaranthtally/policy/call_filling.py
+++ b/packages/policy/src/amaranthtally/policy/call_filling.py
@@ -1,18 +1,24 @@
-"""What goes into the next call for pieces, and what kept it from being full."""
+"""Chooses the pieces of the next call, and tells why the call is not full."""
 
 from collections.abc import Callable
 from enum import Enum
 from typing import NamedTuple
 
 from amaranthtally.policy.actions import CallFacts
-from amaranthtally.policy.piece_queue import QueuedPiece, by_part, take_fitting
+from amaranthtally.policy.piece_queue import QueuedPiece, group_by_part, take_fitting
 from amaranthtally.policy.routes import PieceLimits
 
 __all__ = ["CallFill", "FillCall", "Shortage", "fill_call"]
 
 
 class Shortage(Enum):
-    """Why a call has places left."""
+    """
+    What kept a call from holding as many pieces as its endpoint accepts.
+
+    ``NONE``: the call is full. ``WORK``: no more pieces were queued.
+    ``WHOLE_REQUESTS``: no queued request or part of one fits whole into what is left.
+    ``MEMORY``: the endpoint has no memory for the results of more pieces.
+    """
 
     NONE = "full"
     WORK = "work"
@@ -21,7 +27,7 @@
 
 
 class CallFill(NamedTuple):
-    """The pieces of a call, and what decided on them."""
+    """The pieces chosen for a call, and the figures that the choice was based on."""
 
     pieces: tuple[QueuedPiece, ...]
     facts: CallFacts
@@ -34,27 +40,28 @@
     now: float, queue: list[QueuedPiece], limits: PieceLimits, memory_bytes: float
 ) -> CallFill:
     """
-    Choose the most urgent pieces for a call: all of a part where they fit.
+    Choose the most urgent pieces for a call, whole requests or parts where they fit.
 
-    A request goes on when its last piece is made. Cut by the end of a batch, its
-    stage takes two calls, and the pieces in the first have gained nothing.
+    A request continues only when the last piece of its stage is computed. If a full
+    call split the stage, it would take two calls, and computing some of its pieces in
+    the first one would gain nothing.
     """
-    free = limits.batch
-    left = memory_bytes
+    free_places = limits.batch
+    free_bytes = memory_bytes
     chosen: list[QueuedPiece] = []
-    groups = by_part(queue, limits)
-    groups.sort(key=lambda group: min(w.urgency(now, limits.share_s) for w in group))
+    groups = group_by_part(queue, limits)
+    groups.sort(key=lambda group: min(q.urgency(now, limits.share_s) for q in group))
     for group in groups:
-        size = sum(waiting.ask.result_bytes for waiting in group)
-        if len(group) <= free and size <= left:
+        result_bytes = sum(queued.job.result_bytes for queued in group)
+        if len(group) <= free_places and result_bytes <= free_bytes:
             chosen += group
-            free -= len(group)
-            left -= size
-    chosen = chosen or take_fitting(groups[0], free, left)
+            free_places -= len(group)
+            free_bytes -= result_bytes
+    chosen = chosen or take_fitting(groups[0], free_places, free_bytes)
     facts = CallFacts(
         limits.batch,
         len(queue),
-        max((now - waiting.since for waiting in chosen), default=0.0),
+        max((now - queued.queued_at for queued in chosen), default=0.0),
         memory_bytes,
         _shortage(groups, chosen, limits.batch).value,
     )
@@ -62,15 +69,15 @@
 
 
 def _shortage(
-    groups: list[list[QueuedPiece]], chosen: list[QueuedPiece], places: int
+    groups: list[list[QueuedPiece]], chosen: list[QueuedPiece], capacity: int
 ) -> Shortage:
-    free = places - len(chosen)
-    if not free:
+    free_places = capacity - len(chosen)
+    if not free_places:
         return Shortage.NONE
-    taken = {id(waiting) for waiting in chosen}
-    others = [group for group in groups if id(group[0]) not in taken]
-    if not others:
+    chosen_ids = {id(queued) for queued in chosen}
+    left_out = [group for group in groups if id(group[0]) not in chosen_ids]
+    if not left_out:
         return Shortage.WORK
-    if any(len(group) <= free for group in others):
+    if any(len(group) <= free_places for group in left_out):
         return Shortage.MEMORY
     return Shortage.WHOLE_REQUESTS
--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -239,7 +239,7 @@
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
         so_long = stats.tail(ran)
         # Longer than nearly any run on record: the endpoint is taken to be stuck.
-        if stats.known and ran > STUCK_FACTOR * stats.p99_s:
+        if stats.has_enough_samples and ran > STUCK_FACTOR * stats.p99_s:
             return 1.0
         left = max(0.0, wanted.end - now)
         healthy = stats.tail(ran + left) / so_long if so_long else 0.0
--- a/packages/policy/src/amaranthtally/policy/input_reads.py
+++ b/packages/policy/src/amaranthtally/policy/input_reads.py
@@ -1,4 +1,4 @@
-"""Which results the calls of an entry are reading, and when they have been read."""
+"""Tracks which results the calls in progress read, and when they have been read."""
 
 from collections import Counter, deque
 from collections.abc import Container
@@ -9,15 +9,16 @@
 
 __all__ = ["InputReads"]
 
-# When an endpoint has read what a call's pieces need, in seconds from its sending: the
-# way there, and twice the transfer of some hundred kilobytes.
+# Time from sending a call until its endpoint has read the inputs of the pieces, in
+# seconds: the network delay to the endpoint, and twice the transfer time of some
+# hundred kilobytes.
 FETCH_S = 0.05
 
 
-class _Reading(NamedTuple):
-    """Results that a request's pieces in a call have read by a time."""
+class _Read(NamedTuple):
+    """Inputs of a request, which a call has read by the time stamp ``done_at``."""
 
-    at: float
+    done_at: float
     call: int
     request_id: str
     results: tuple[StoredResult, ...]
@@ -25,56 +26,61 @@
 
 class InputReads:
     """
-    Follows what calls read, so that it can be freed as soon as it was.
+    Tracks the inputs of calls, so that they are freed as soon as they have been read.
 
-    An endpoint reads what its pieces need at the call's turn, which is at once where it
-    has no other caller. Kept to the call's end, 0.3 s later, results would take up half
-    as much memory again at their makers, whose room is what bounds them.
+    An endpoint reads the inputs of its pieces when the call starts to run, which is at
+    once if no other entry calls the endpoint. If the inputs were kept until the call
+    ends, 0.3 s later, they would occupy half as much memory again at the endpoints that
+    store them, and that memory is the bottleneck.
     """
 
     def __init__(self) -> None:
-        self._reading: deque[_Reading] = deque()
+        self._reads: deque[_Read] = deque()
 
     def __bool__(self) -> bool:
-        """Whether anything is being read."""
-        return bool(self._reading)
+        """Whether any inputs are still being read."""
+        return bool(self._reads)
 
-    def note(self, now: float, call: int, asks: tuple[PieceJob, ...]) -> frozenset[str]:
+    def add(self, now: float, call: int, jobs: tuple[PieceJob, ...]) -> frozenset[str]:
         """
-        Note a call that begins at once; return the requests whose inputs it frees.
+        Record a call that starts at once; return the requests whose inputs it frees.
 
-        Those of which every piece of a stage is in the call: no other one is to read
-        the same inputs.
+        These are the requests that have every piece of a stage in the call, so that no
+        later piece needs the same inputs.
+        """
+        counts = Counter((job.piece.request_id, job.piece.stage) for job in jobs)
+        complete: dict[str, tuple[StoredResult, ...]] = {}
+        for job in jobs:
+            piece = job.piece
+            if job.inputs and counts[piece.request_id, piece.stage] == job.siblings:
+                complete[piece.request_id] = job.inputs
+        done_at = now + FETCH_S
+        for request_id, results in complete.items():
+            self._reads.append(_Read(done_at, call, request_id, results))
+        return frozenset(complete)
+
+    def cancel(self, call: int, request_ids: Container[str]) -> frozenset[str]:
+        """
+        Keep the inputs of these requests of a call, unless they were freed already.
+
+        Returns the requests whose inputs are kept.
         """
-        counts = Counter((ask.piece.request_id, ask.piece.stage) for ask in asks)
-        whole: dict[str, tuple[StoredResult, ...]] = {}
-        for ask in asks:
-            piece = ask.piece
-            if ask.inputs and counts[piece.request_id, piece.stage] == ask.siblings:
-                whole[piece.request_id] = ask.inputs
-        at = now + FETCH_S
-        for request_id, results in whole.items():
-            self._reading.append(_Reading(at, call, request_id, results))
-        return frozenset(whole)
-
-    def keep(self, call: int, wanted: Container[str]) -> frozenset[str]:
-        """Keep what these requests need of a call; return those in time for it."""
         kept = frozenset(
-            reading.request_id
-            for reading in self._reading
-            if reading.call == call and reading.request_id in wanted
+            read.request_id
+            for read in self._reads
+            if read.call == call and read.request_id in request_ids
         )
         if kept:
-            self._reading = deque(
-                reading
-                for reading in self._reading
-                if reading.call != call or reading.request_id not in kept
+            self._reads = deque(
+                read
+                for read in self._reads
+                if read.call != call or read.request_id not in kept
             )
         return kept
 
     def take_read(self, now: float) -> list[StoredResult]:
-        """Return what has been read by now, once."""
-        read: list[StoredResult] = []
-        while self._reading and self._reading[0].at <= now:
-            read += self._reading.popleft().results
-        return read
+        """Remove and return the inputs that have been read by now."""
+        results: list[StoredResult] = []
+        while self._reads and self._reads[0].done_at <= now:
+            results += self._reads.popleft().results
+        return results
--- a/packages/policy/src/amaranthtally/policy/learning.py
+++ b/packages/policy/src/amaranthtally/policy/learning.py
@@ -84,7 +84,7 @@
         if load is None:
             return
         stats = self._times.of(request.current)
-        if stats.known and not ended.stream.pace_s:
+        if stats.has_enough_samples and not ended.stream.pace_s:
             load.note_run(now, result.run_s / stats.loaded_mean_s(ended.beside))
         stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
         on_the_way = now - ended.sent_at - result.run_s - result.queued_s
--- a/packages/policy/src/amaranthtally/policy/piece_coordinator.py
+++ b/packages/policy/src/amaranthtally/policy/piece_coordinator.py
@@ -1,10 +1,10 @@
-"""Makes the pieces of requests: where, by whom, and again after a failure."""
+"""Has the pieces of requests computed: chooses where, and retries after failures."""
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 
 from amaranthtally.policy.actions import Action, AskPeer, FreeAtPeer, TellPeer
-from amaranthtally.policy.batcher import Batcher, Batches
+from amaranthtally.policy.batcher import Batcher, BatcherEffects
 from amaranthtally.policy.first_events import DEFAULT_S
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.model import Endpoint
@@ -16,56 +16,56 @@
     PiecesEnded,
 )
 from amaranthtally.policy.pool_sites import Peer, PoolSites
-from amaranthtally.policy.result_releaser import ResultFreer
+from amaranthtally.policy.result_releaser import ResultReleaser
 from amaranthtally.policy.routes import PieceStage, Pool
 from amaranthtally.policy.stage_plans import StagePlans
 from amaranthtally.policy.staged_requests import CoordinatorEffects, StagedRequest
-from amaranthtally.policy.submitted_pieces import AskedPiece, AskedPieces
+from amaranthtally.policy.submitted_pieces import SubmittedPiece, SubmittedPieces
 
 __all__ = ["PieceCoordinator", "CoordinatorEffects"]
 
-# Failures of one piece before its request is given up: one for an endpoint that has
-# gone, one for an entry that asked it, one for a second endpoint.
-MOST_FAILURES = 4
-# A peer is asked once more for a piece of which nothing was heard for this long, in
-# seconds, beyond what it is predicted to take twice over. It may only be busy: an
-# entry that asked another one then would bring a second caller to an endpoint that is
-# full already, and more of them the fuller it is.
-PATIENCE_S = 2.0
+# A request fails once one of its pieces has failed this many times. The three failures
+# before allow for an endpoint that went down, an owner that did, and a second endpoint.
+MAX_FAILURES = 4
+# A piece without a report is submitted again after twice its predicted time plus this
+# many seconds, to the same data centre. The owner may only be busy: if the entry chose
+# another owner instead, the endpoint, which is full already, would get a second caller,
+# and the more of them the fuller it is.
+REPORT_TIMEOUT_S = 2.0
 
-NOWHERE: Mapping[Piece, str] = {}
+NO_SITES: Mapping[Piece, str] = {}
 
 
 class PieceCoordinator:
     """
-    Follows the stage graphs of an entry's requests and has their pieces made.
+    Follows the stage graphs of an entry's requests and has their pieces computed.
 
-    All pieces of a stage are asked for in one data centre, where they wait least:
-    results that cross data centres are paid for by the byte, and the engine that reads
-    them is chosen near them.
+    All pieces of a stage, or of a part of a large one, run in one data centre, where
+    they wait least. Traffic between data centres is paid for by the byte, and the
+    engine that reads the results is chosen close to them.
     """
 
     def __init__(
         self,
         batcher: Batcher | None = None,
-        places: PoolSites | None = None,
+        sites: PoolSites | None = None,
         build_plans: Callable[[PoolSites, Batcher], StagePlans] = StagePlans,
     ) -> None:
         self._batcher = batcher or Batcher()
-        self._places = places or PoolSites()
-        self._freer = ResultFreer(self._batcher, self._places)
-        self._plans = build_plans(self._places, self._batcher)
-        self._gathered: dict[str, StagedRequest] = {}
-        self._asked = AskedPieces()
+        self._sites = sites or PoolSites()
+        self._releaser = ResultReleaser(self._batcher, self._sites)
+        self._plans = build_plans(self._sites, self._batcher)
+        self._requests: dict[str, StagedRequest] = {}
+        self._submitted = SubmittedPieces()
 
     @property
     def batcher(self) -> Batcher:
-        """What this entry makes for all entries."""
+        """Runs the jobs of all entries at the sites that this entry owns."""
         return self._batcher
 
     @property
     def plans(self) -> StagePlans:
-        """What stages are predicted to take, and where they run best."""
+        """Predicts how long stages take, and chooses where they run."""
         return self._plans
 
     def configure(
@@ -76,23 +76,23 @@
         endpoints: Mapping[str, Endpoint],
         pools: Mapping[str, Pool],
     ) -> None:
-        """Use these endpoints and pools, seen from this entry."""
+        """Use these endpoints and pools, and this entry's name and location."""
         self._plans.configure(pools)
-        self._places.configure(name, region, data_centre)
+        self._sites.configure(name, region, data_centre)
         self._batcher.configure(endpoints, pools)
 
     def replace_peers(self, peers: Iterable[Peer]) -> None:
-        """Use these live entries beside this one."""
-        self._places.replace_peers(peers)
+        """Replace the set of other live entries."""
+        self._sites.replace_peers(peers)
 
     def owner(self, now: float, pool: str, data_centre: str) -> str:
-        """Return the entry that calls a pool's endpoints there; empty: this one."""
-        return self._places.owner(now, pool, data_centre)
+        """Return the name of a site's owner, empty if it is this entry."""
+        return self._sites.owner(now, pool, data_centre)
 
     def inputs_of(self, request_id: str) -> tuple[StoredResult, ...]:
-        """Return the results that a request reads."""
-        found = self._gathered.get(request_id)
-        return () if found is None else found.graph.request_inputs()
+        """Return the stored results that a request itself reads."""
+        staged = self._requests.get(request_id)
+        return () if staged is None else staged.graph.request_inputs()
 
     # Events
 
@@ -110,301 +110,343 @@
         engine_s: float = DEFAULT_S,
     ) -> CoordinatorEffects:
         """
-        Take a request in and have its first pieces made.
+        Start a request's stages by submitting the pieces that are due first.
 
-        ``reader`` is the data centre in which the request itself will likely run,
-        ``engine_s`` what its engine usually takes to the first event.
+        ``key`` is the input of the first stages. ``reader`` is the data centre in which
+        the request itself is expected to run, and ``engine_s`` how long its engine
+        usually takes until the first event, in seconds.
         """
-        ensure(request_id not in self._gathered, "a request's pieces begin once")
+        ensure(
+            request_id not in self._requests, "the pieces of a request are started once"
+        )
         graph = PieceGraph(request_id, stages, counts)
-        found = StagedRequest(
+        staged = StagedRequest(
             graph, key, objective, deadline, priority, reader, engine_s
         )
-        self._gathered[request_id] = found
-        return self._advance(now, found)
+        self._requests[request_id] = staged
+        return self._start_due(now, staged)
 
     def recompute_inputs(self, now: float, request_id: str) -> CoordinatorEffects:
-        """Make the results that a request reads once more, as one is gone."""
-        found = self._gathered[request_id]
-        freed = self._freer.free(now, found.graph.lose_request_inputs())
-        news = self._advance(now, found)
-        news.actions[:0] = freed
-        return news
+        """Recompute the results that a request reads, as one is not stored any more."""
+        staged = self._requests[request_id]
+        freed = self._releaser.free(now, staged.graph.invalidate_request_inputs())
+        effects = self._start_due(now, staged)
+        effects.actions[:0] = freed
+        return effects
 
     def call_ended(
         self, now: float, call_id: int, end: PiecesEnded
     ) -> CoordinatorEffects:
-        """Take the end of a call of this entry."""
-        news = CoordinatorEffects()
-        self._pass_on(now, self._batcher.ended(now, call_id, end), news)
-        return news
+        """Process the end of a call of this entry."""
+        effects = CoordinatorEffects()
+        self._add_batcher_effects(
+            now, self._batcher.call_ended(now, call_id, end), effects
+        )
+        return effects
 
     def accept_jobs(
-        self, now: float, asker: str, asks: Iterable[PieceJob]
+        self, now: float, submitter: str, jobs: Iterable[PieceJob]
     ) -> CoordinatorEffects:
-        """Take pieces that another entry wants made."""
-        news = CoordinatorEffects()
-        theirs = [replace(ask, asker=asker) for ask in asks]
-        # The asker had not heard that this entry leaves, or has started anew and knows
-        # no pools: taken, the pieces would be told to have failed, and everybody would
-        # leave their place alone.
-        knows = not self._places.is_leaving and self._plans.knows_pools
-        take = (
-            self._batcher.take(now, theirs) if knows else self._batcher.refuse(theirs)
+        """Queue the jobs that another entry submits, or return them to it."""
+        effects = CoordinatorEffects()
+        peer_jobs = [replace(job, submitter=submitter) for job in jobs]
+        # A submitter may not know yet that this entry shuts down, or that it has just
+        # restarted and has no configuration. If the jobs were queued, they would be
+        # reported as failed, and all entries would avoid the site for a while.
+        can_run = not self._sites.is_leaving and self._plans.is_configured
+        batcher_effects = (
+            self._batcher.take(now, peer_jobs)
+            if can_run
+            else self._batcher.refuse(peer_jobs)
         )
-        self._pass_on(now, take, news)
-        return news
+        self._add_batcher_effects(now, batcher_effects, effects)
+        return effects
 
     def take_reports(
-        self, now: float, told: Iterable[PieceReport]
+        self, now: float, reports: Iterable[PieceReport]
     ) -> CoordinatorEffects:
-        """Hear what became of pieces."""
-        news = CoordinatorEffects()
-        self._take_told(now, told, news)
-        return news
+        """Process reports on jobs that this entry submitted."""
+        effects = CoordinatorEffects()
+        self._take_reports(now, reports, effects)
+        return effects
 
     def free_for_peer(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
     ) -> list[Action]:
-        """Drop results that another entry has read, and a request that has ended."""
+        """
+        Free results for the entry that had them computed.
+
+        ``ended`` is the id of a request that has ended, whose queued jobs are dropped.
+        """
         if ended:
             self._batcher.withdraw(ended)
         return self._batcher.free(now, results)
 
     def peer_failed(self, now: float, peer: str) -> CoordinatorEffects:
-        """Have the pieces made elsewhere that a peer was asked for."""
-        self._places.peer_failed(now, peer)
-        news = CoordinatorEffects()
-        self._ask_again(now, self._asked.of_owner(peer), news)
-        return news
+        """Submit the unreported jobs of a peer that failed to another entry."""
+        self._sites.peer_failed(now, peer)
+        effects = CoordinatorEffects()
+        self._resubmit(now, self._submitted.submitted_to(peer), effects)
+        return effects
 
     def peer_recovered(self, peer: str) -> None:
-        """Ask a peer for pieces again, as it answers and takes part."""
-        self._places.peer_recovered(peer)
+        """Submit jobs to a peer again, as it answers and is ready."""
+        self._sites.peer_recovered(peer)
 
     def tick(self, now: float) -> CoordinatorEffects:
-        """Send what waited; ask once more for what was not heard of."""
-        news = CoordinatorEffects()
-        late = self._asked.overdue(now)
-        # Its call may only wait: asked for in another place, it would be made twice.
-        stay = {piece: asked.data_centre for piece, asked in late.items()}
-        self._ask_again(now, late, news, stay=stay)
-        self._pass_on(now, self._batcher.tick(now), news)
-        return news
+        """Send the calls that are due, and resubmit pieces whose report is overdue."""
+        effects = CoordinatorEffects()
+        overdue = self._submitted.overdue(now)
+        # The piece may still be queued there. In another data centre, it would be
+        # computed a second time.
+        fixed = {piece: submitted.data_centre for piece, submitted in overdue.items()}
+        self._resubmit(now, overdue, effects, fixed_data_centres=fixed)
+        self._add_batcher_effects(now, self._batcher.tick(now), effects)
+        return effects
 
     def leave(self, now: float) -> CoordinatorEffects:
-        """Own nothing from now on, and hand back what waits here."""
-        self._places.leave()
-        news = CoordinatorEffects()
-        self._pass_on(now, self._batcher.hand_back(), news)
-        return news
+        """Give up ownership of all sites, and return jobs to their submitters."""
+        self._sites.leave()
+        effects = CoordinatorEffects()
+        self._add_batcher_effects(now, self._batcher.hand_back(), effects)
+        return effects
 
     @property
     def awaited_peers(self) -> frozenset[str]:
-        """The entries that were asked for pieces and have not told of all."""
-        return self._asked.owners
+        """The peers that still owe a report on a submitted job."""
+        return self._submitted.owners
 
     def unavailable_peers(self, now: float) -> frozenset[str]:
-        """Return the live peers that are asked for nothing, as they failed."""
-        return self._places.unavailable_peers(now)
+        """Return the live peers that no jobs are submitted to, as they failed."""
+        return self._sites.unavailable_peers(now)
 
     def close(self, now: float, request_id: str) -> list[Action]:
-        """Forget a request that has ended, and free its results."""
-        found = self._gathered.pop(request_id, None)
-        if found is None:
+        """Drop a request that has ended, with its queued jobs and stored results."""
+        staged = self._requests.pop(request_id, None)
+        if staged is None:
             return []
         self._batcher.withdraw(request_id)
-        # What a peer was asked for would be made for nobody.
+        # The peers drop the request's queued jobs, whose results nobody would read.
         ended: list[Action] = [
-            FreeAtPeer(owner, (), request_id) for owner in self._asked.end(request_id)
+            FreeAtPeer(owner, (), request_id)
+            for owner in self._submitted.remove_request(request_id)
         ]
-        return ended + self._freer.free(now, found.graph.take_all())
+        return ended + self._releaser.free(now, staged.graph.take_results())
 
     def free_inputs(self, now: float, request_id: str) -> list[Action]:
-        """Free the results that a request has read, as it runs now."""
-        found = self._gathered.get(request_id)
-        return [] if found is None else self._freer.free(now, found.graph.take_all())
+        """Free the stored results of a request, once its engine has read them."""
+        staged = self._requests.get(request_id)
+        return (
+            []
+            if staged is None
+            else self._releaser.free(now, staged.graph.take_results())
+        )
 
-    # Asking
+    # Submission of jobs
 
-    def _advance(self, now: float, found: StagedRequest) -> CoordinatorEffects:
-        news = CoordinatorEffects()
-        self._ask_due(now, found, news)
-        return news
+    def _start_due(self, now: float, staged: StagedRequest) -> CoordinatorEffects:
+        effects = CoordinatorEffects()
+        self._submit_due(now, staged, effects)
+        return effects
 
-    def _ask_due(
-        self, now: float, found: StagedRequest, news: CoordinatorEffects
+    def _submit_due(
+        self, now: float, staged: StagedRequest, effects: CoordinatorEffects
     ) -> None:
-        self._ask(now, found, self._plans.take_due(found.graph), news)
-        if found.graph.is_done:
-            news.ready.append(found.graph.request_id)
+        self._submit(now, staged, self._plans.take_due(staged.graph), effects)
+        if staged.graph.is_done:
+            effects.ready.append(staged.graph.request_id)
 
-    def _ask(
+    def _submit(
         self,
         now: float,
-        found: StagedRequest,
+        staged: StagedRequest,
         pieces: list[Piece],
-        news: CoordinatorEffects,
-        stay: Mapping[Piece, str] = NOWHERE,
+        effects: CoordinatorEffects,
+        fixed_data_centres: Mapping[Piece, str] = NO_SITES,
     ) -> None:
-        """Ask for pieces; ``stay`` names where some are to be made."""
+        """Submit pieces; those in ``fixed_data_centres`` run in the given one."""
         by_owner: dict[str, list[PieceJob]] = {}
-        places: dict[tuple[int, int], str | None] = {}
+        data_centres: dict[tuple[int, int], str | None] = {}
         for piece in pieces:
-            part = (piece.stage, self._plans.part_of(found.graph, piece))
-            if part not in places:
-                place = stay.get(piece)
-                places[part] = place or self._plan_place(now, found, piece.stage)
-            place = places[part]
-            if place is None:
-                news.failed.append(piece.request_id)
+            part = (piece.stage, self._plans.part_of(staged.graph, piece))
+            if part not in data_centres:
+                fixed = fixed_data_centres.get(piece)
+                data_centres[part] = fixed or self._choose_data_centre(
+                    now, staged, piece.stage
+                )
+            data_centre = data_centres[part]
+            if data_centre is None:
+                effects.failed.append(piece.request_id)
                 return
-            ask = self._ask_for(now, found, piece, place)
-            if ask.deadline < now:
-                news.late.append(piece.request_id)
+            job = self._job_for(now, staged, piece, data_centre)
+            if job.deadline < now:
+                effects.late.append(piece.request_id)
                 return
-            owner = self._places.owner(now, ask.pool, ask.data_centre)
-            by_owner.setdefault(owner, []).append(ask)
-            until = self._patience_until(now, ask) if owner else float("inf")
-            self._asked.put(piece, AskedPiece(owner, ask.pool, ask.data_centre, until))
-            found.graph.started(piece)
-        for owner, asks in by_owner.items():
+            owner = self._sites.owner(now, job.pool, job.data_centre)
+            by_owner.setdefault(owner, []).append(job)
+            report_due = self._report_due(now, job) if owner else float("inf")
+            self._submitted.add(
+                piece, SubmittedPiece(owner, job.pool, job.data_centre, report_due)
+            )
+            staged.graph.mark_running(piece)
+        for owner, jobs in by_owner.items():
             if owner:
-                news.actions.append(AskPeer(owner, tuple(asks)))
+                effects.actions.append(AskPeer(owner, tuple(jobs)))
             else:
-                self._pass_on(now, self._batcher.take(now, asks), news)
+                self._add_batcher_effects(now, self._batcher.take(now, jobs), effects)
 
-    def _plan_place(self, now: float, found: StagedRequest, stage: int) -> str | None:
-        on_time_by = found.objective - found.engine_s
+    def _choose_data_centre(
+        self, now: float, staged: StagedRequest, stage: int
+    ) -> str | None:
+        on_time_by = staged.objective - staged.engine_s
         return self._plans.choose_data_centre(
-            now, found.graph, stage, found.reader, on_time_by, found.priority
+            now, staged.graph, stage, staged.reader, on_time_by, staged.priority
         )
 
-    def _ask_for(
-        self, now: float, found: StagedRequest, piece: Piece, place: str
+    def _job_for(
+        self, now: float, staged: StagedRequest, piece: Piece, data_centre: str
     ) -> PieceJob:
-        stage = found.graph.stages[piece.stage]
-        after_s = self._plans.after_s(found.graph, piece.stage)
+        stage = staged.graph.stages[piece.stage]
+        after_s = self._plans.after_s(staged.graph, piece.stage)
         share_s = self._plans.share_s(stage.pool)
-        self._places.note_submitted(now, stage.pool, place, share_s, found.priority)
+        self._sites.note_submitted(
+            now, stage.pool, data_centre, share_s, staged.priority
+        )
         return PieceJob(
             piece,
             stage.pool,
-            place,
+            data_centre,
             stage.result_bytes,
-            found.objective - after_s - found.engine_s,
-            found.deadline - after_s,
-            found.priority,
-            "" if stage.after else found.key,
-            found.graph.inputs_of(piece),
-            found.graph.count(piece.stage),
-            found.graph.is_started,
+            staged.objective - after_s - staged.engine_s,
+            staged.deadline - after_s,
+            staged.priority,
+            "" if stage.after else staged.key,
+            staged.graph.inputs_of(piece),
+            staged.graph.count(piece.stage),
+            staged.graph.is_started,
         )
 
-    def _ask_again(
+    def _resubmit(
         self,
         now: float,
         pieces: Iterable[Piece],
-        news: CoordinatorEffects,
+        effects: CoordinatorEffects,
         failed: bool = True,
-        stay: Mapping[Piece, str] = NOWHERE,
+        fixed_data_centres: Mapping[Piece, str] = NO_SITES,
     ) -> None:
-        again: dict[str, list[Piece]] = {}
+        by_request: dict[str, list[Piece]] = {}
         for piece in pieces:
-            self._asked.take(piece)
-            found = self._gathered.get(piece.request_id)
-            if found is None or piece.request_id in news.failed:
+            self._submitted.remove(piece)
+            staged = self._requests.get(piece.request_id)
+            if staged is None or piece.request_id in effects.failed:
                 continue
-            if found.graph.requeued(piece, failed) >= MOST_FAILURES:
-                news.failed.append(piece.request_id)
-            elif found.graph.is_fed(piece):
-                again.setdefault(piece.request_id, []).append(piece)
+            if staged.graph.mark_requeued(piece, failed) >= MAX_FAILURES:
+                effects.failed.append(piece.request_id)
+            elif staged.graph.has_inputs(piece):
+                by_request.setdefault(piece.request_id, []).append(piece)
             else:
-                news.actions += self._freer.free(now, found.graph.lose_inputs_of(piece))
-        for request_id, several in again.items():
-            if request_id not in news.failed:
-                self._ask(now, self._gathered[request_id], several, news, stay)
-
-    def _patience_until(self, now: float, ask: PieceJob) -> float:
-        wait_s = self._plans.wait_s(now, ask.pool, ask.data_centre, ask.priority)
-        return now + 2.0 * (wait_s + self._plans.call_s(ask.pool)) + PATIENCE_S
-
-    # Hearing
-
-    def _pass_on(self, now: float, batches: Batches, news: CoordinatorEffects) -> None:
-        news.actions += batches.actions
-        news.actions += self._freer.free(now, batches.read)
-        for asker, told in batches.told.items():
-            if asker:
-                news.actions.append(TellPeer(asker, tuple(told)))
+                effects.actions += self._releaser.free(
+                    now, staged.graph.invalidate_inputs_of(piece)
+                )
+        for request_id, request_pieces in by_request.items():
+            if request_id not in effects.failed:
+                self._submit(
+                    now,
+                    self._requests[request_id],
+                    request_pieces,
+                    effects,
+                    fixed_data_centres,
+                )
+
+    def _report_due(self, now: float, job: PieceJob) -> float:
+        wait_s = self._plans.wait_s(now, job.pool, job.data_centre, job.priority)
+        return now + 2.0 * (wait_s + self._plans.call_s(job.pool)) + REPORT_TIMEOUT_S
+
+    # Reports
+
+    def _add_batcher_effects(
+        self, now: float, batcher_effects: BatcherEffects, effects: CoordinatorEffects
+    ) -> None:
+        effects.actions += batcher_effects.actions
+        effects.actions += self._releaser.free(now, batcher_effects.consumed)
+        for submitter, reports in batcher_effects.reports.items():
+            if submitter:
+                effects.actions.append(TellPeer(submitter, tuple(reports)))
             else:
-                self._take_told(now, told, news)
+                self._take_reports(now, reports, effects)
 
-    def _take_told(
-        self, now: float, told: Iterable[PieceReport], news: CoordinatorEffects
+    def _take_reports(
+        self, now: float, reports: Iterable[PieceReport], effects: CoordinatorEffects
     ) -> None:
-        touched: dict[str, None] = {}
-        for one in told:
-            asked = self._asked.take(one.piece)
-            found = self._gathered.get(one.piece.request_id)
-            if found is None or asked is None:
-                # Its request has ended, or it was made elsewhere meanwhile.
-                news.actions += self._freer.free(now, _results_of(one))
+        reported_requests: dict[str, None] = {}
+        for report in reports:
+            submitted = self._submitted.remove(report.piece)
+            staged = self._requests.get(report.piece.request_id)
+            if staged is None or submitted is None:
+                # The request has ended, or the piece was computed elsewhere meanwhile.
+                effects.actions += self._releaser.free(now, _results_of(report))
                 continue
-            if one.inputs_freed:
-                found.graph.forget_inputs_of(one.piece)
-            self._take_one(now, found, one, asked.owner, news)
-            touched[one.piece.request_id] = None
-        self._continue(now, touched, news)
+            if report.inputs_freed:
+                staged.graph.discard_inputs_of(report.piece)
+            self._take_report(now, staged, report, submitted.owner, effects)
+            reported_requests[report.piece.request_id] = None
+        self._submit_next(now, reported_requests, effects)
 
-    def _take_one(
+    def _take_report(
         self,
         now: float,
-        found: StagedRequest,
-        told: PieceReport,
+        staged: StagedRequest,
+        report: PieceReport,
         owner: str,
-        news: CoordinatorEffects,
+        effects: CoordinatorEffects,
     ) -> None:
-        piece = told.piece
-        if told.fault is None:
-            place = (told.pool, told.data_centre)
-            self._places.update_wait(
-                now, *place, told.wait_s, told.slowdown_s, found.priority
+        piece = report.piece
+        if report.fault is None:
+            site = (report.pool, report.data_centre)
+            self._sites.update_wait(
+                now, *site, report.wait_s, report.slowdown_s, staged.priority
+            )
+            size = staged.graph.stages[piece.stage].result_bytes
+            result = StoredResult(
+                report.handle, report.endpoint, report.data_centre, size
+            )
+            staged.graph.mark_done(piece, result)
+        elif report.fault is PieceFault.HANDED_BACK:
+            # The peer shuts down. Until its membership record is removed, it would be
+            # chosen as owner again and return the job once more.
+            self._sites.peer_failed(now, owner)
+            self._resubmit(now, [piece], effects, failed=False)
+        elif report.fault is PieceFault.LATE:
+            effects.late.append(piece.request_id)
+        elif report.fault is PieceFault.INPUT_MISSING:
+            effects.actions += self._releaser.free(
+                now, staged.graph.invalidate_inputs_of(piece)
             )
-            size = found.graph.stages[piece.stage].result_bytes
-            result = StoredResult(told.handle, told.endpoint, told.data_centre, size)
-            found.graph.finished(piece, result)
-        elif told.fault is PieceFault.HANDED_BACK:
-            # It leaves: asked again before its record is gone, it would hand them
-            # back once more.
-            self._places.peer_failed(now, owner)
-            self._ask_again(now, [piece], news, failed=False)
-        elif told.fault is PieceFault.LATE:
-            news.late.append(piece.request_id)
-        elif told.fault is PieceFault.INPUT_MISSING:
-            news.actions += self._freer.free(now, found.graph.lose_inputs_of(piece))
         else:
-            self._places.failed(now, told.pool, told.data_centre)
-            self._ask_again(now, [piece], news)
+            self._sites.note_failure(now, report.pool, report.data_centre)
+            self._resubmit(now, [piece], effects)
 
-    def _continue(
-        self, now: float, request_ids: Iterable[str], news: CoordinatorEffects
+    def _submit_next(
+        self, now: float, request_ids: Iterable[str], effects: CoordinatorEffects
     ) -> None:
         """
-        Have made what results made due, once what those read is freed.
+        Submit the pieces that have become due, after freeing the results now unneeded.
 
-        Freed together: a message a request, eight at once after a full call, opened as
-        many connections to the maker.
+        The results of all requests are freed in one message for each endpoint. With one
+        message for each request, a full call was followed by eight messages at once,
+        which opened as many connections to the endpoint.
         """
-        given_up = {*news.failed, *news.late}
-        going = [self._gathered[r] for r in request_ids if r not in given_up]
-        unread = [result for found in going for result in found.graph.take_unread()]
-        news.actions += self._freer.free(now, unread)
-        for found in going:
-            self._ask_due(now, found, news)
+        given_up = {*effects.failed, *effects.late}
+        active = [self._requests[r] for r in request_ids if r not in given_up]
+        consumed = [
+            result for staged in active for result in staged.graph.take_consumed()
+        ]
+        effects.actions += self._releaser.free(now, consumed)
+        for staged in active:
+            self._submit_due(now, staged, effects)
 
 
-def _results_of(told: PieceReport) -> list[StoredResult]:
-    if told.fault is not None:
+def _results_of(report: PieceReport) -> list[StoredResult]:
+    if report.fault is not None:
         return []
-    return [StoredResult(told.handle, told.endpoint, told.data_centre, 0.0)]
+    return [StoredResult(report.handle, report.endpoint, report.data_centre, 0.0)]
--- a/packages/policy/src/amaranthtally/policy/piece_graph.py
+++ b/packages/policy/src/amaranthtally/policy/piece_graph.py
@@ -1,4 +1,4 @@
-"""The pieces of one request: which are due, which run, which results they have."""
+"""The stage graph of one request: the state and the result of each piece."""
 
 from collections.abc import Container, Sequence
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 
 class StoredResult(NamedTuple):
-    """A result that its maker keeps; ``handle`` names it to whoever reads it."""
+    """A result stored at the endpoint that computed it; readers fetch it by handle."""
 
     handle: str
     endpoint: str
@@ -33,7 +33,7 @@
 
 
 class PieceState(Enum):
-    """Where a piece stands."""
+    """State of a piece: waiting for inputs, due, submitted, or computed."""
 
     WAITING = "waiting"
     QUEUED = "queued"
@@ -50,10 +50,10 @@
 
 class PieceGraph:
     """
-    The stages of one request that come before the request itself.
+    The stages of one request that run before the request itself is sent to an engine.
 
-    ``counts`` holds the pieces of each stage; a stage of 0 pieces is left out. A
-    piece is due once every piece of the stages that it reads is done.
+    ``counts`` holds the number of pieces of each stage; a stage without pieces is
+    skipped. A piece is due once every piece of the stages that it reads is done.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether every result that the request reads is there."""
+        """Whether every piece whose result the request itself reads is done."""
         return all(
             record.state is PieceState.DONE
             for index in self.last_stages()
@@ -85,7 +85,7 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether a piece of any stage has been made."""
+        """Whether any piece has been computed."""
         return any(
             record.state is PieceState.DONE
             for records in self._records
@@ -96,13 +96,13 @@
         """Return how many pieces a stage has."""
         return len(self._records[stage])
 
-    def take_due(self, held: Container[int] = ()) -> list[Piece]:
-        """Mark the pieces that can run now as queued, but for stages ``held`` back."""
+    def take_due(self, deferred: Container[int] = ()) -> list[Piece]:
+        """Mark due pieces as queued and return them, except those of ``deferred``."""
         due: list[Piece] = []
         for index in range(len(self._stages)):
-            if index in held:
+            if index in deferred:
                 continue
-            if not self._is_needed(index) or not self._is_fed(index):
+            if not self._is_needed(index) or not self._has_inputs(index):
                 continue
             for number, record in enumerate(self._records[index]):
                 if record.state is PieceState.WAITING:
@@ -110,35 +110,37 @@
                     due.append(Piece(self._request_id, index, number))
         return due
 
-    def unfinished_before(self, stage: int) -> list[int]:
-        """Return the longest way of unfinished stages to one, itself included."""
+    def longest_unfinished_path(self, stage: int) -> list[int]:
+        """Return the longest path of unfinished stages that ends at this stage."""
         if self._is_stage_done(stage):
             return []
-        ways = [self.unfinished_before(index) for index in self._stages[stage].after]
-        return [*max(ways, key=len, default=[]), stage]
+        paths = [
+            self.longest_unfinished_path(index) for index in self._stages[stage].after
+        ]
+        return [*max(paths, key=len, default=[]), stage]
 
     def last_stages(self) -> list[int]:
         """Return the stages whose results the request itself reads."""
         return [i for i in range(len(self._stages)) if not self.readers(i)]
 
-    def is_fed(self, piece: Piece) -> bool:
-        """Whether every result that a piece reads is there now."""
-        wanted = sum(self.count(i) for i in self._stages[piece.stage].after)
-        return len(self.inputs_of(piece)) == wanted
+    def has_inputs(self, piece: Piece) -> bool:
+        """Whether every result that a piece reads is stored now."""
+        needed = sum(self.count(i) for i in self._stages[piece.stage].after)
+        return len(self.inputs_of(piece)) == needed
 
-    def started(self, piece: Piece) -> None:
-        """Note that a piece is sent."""
+    def mark_running(self, piece: Piece) -> None:
+        """Mark a piece as running, as its job is being submitted."""
         self._record(piece).state = PieceState.RUNNING
 
-    def requeued(self, piece: Piece, failed: bool) -> int:
-        """Note that a sent piece made no result; return how often it has failed."""
+    def mark_requeued(self, piece: Piece, failed: bool) -> int:
+        """Mark a piece without result as queued; return how often it has failed."""
         record = self._record(piece)
         record.state = PieceState.QUEUED
         record.failures += failed
         return record.failures
 
-    def finished(self, piece: Piece, result: StoredResult) -> None:
-        """Take a piece's result."""
+    def mark_done(self, piece: Piece, result: StoredResult) -> None:
+        """Store a piece's result."""
         record = self._record(piece)
         record.state = PieceState.DONE
         record.result = result
@@ -155,72 +157,73 @@
         """Return the results that the request itself reads."""
         return self._results(self.last_stages())
 
-    def take_unread(self) -> list[StoredResult]:
+    def take_consumed(self) -> list[StoredResult]:
         """
-        Return and forget results whose every reader is done.
+        Remove and return the results of stages whose readers are all done.
 
-        They fill their maker's memory until it is told; a result that the request
-        itself reads stays.
+        These results occupy memory at their endpoints until they are freed. Results
+        that the request itself reads are kept.
         """
-        unread: list[StoredResult] = []
+        consumed: list[StoredResult] = []
         for index in range(len(self._stages)):
             readers = self.readers(index)
             if not readers or not all(self._is_stage_done(r) for r in readers):
                 continue
-            unread += self._take_results(index)
-        return unread
+            consumed += self._take_stage_results(index)
+        return consumed
 
-    def take_all(self) -> list[StoredResult]:
-        """Return and forget every result, as the request has ended."""
-        taken: list[StoredResult] = []
+    def take_results(self) -> list[StoredResult]:
+        """Remove and return every result."""
+        results: list[StoredResult] = []
         for index in range(len(self._stages)):
-            taken += self._take_results(index)
-        return taken
+            results += self._take_stage_results(index)
+        return results
 
-    def forget_inputs_of(self, piece: Piece) -> None:
-        """Note that what a piece read is kept no more."""
+    def discard_inputs_of(self, piece: Piece) -> None:
+        """Remove the results that a piece read, as they have been freed."""
         for index in self._stages[piece.stage].after:
-            self._take_results(index)
+            self._take_stage_results(index)
 
-    def lose_inputs_of(self, piece: Piece) -> list[StoredResult]:
+    def invalidate_inputs_of(self, piece: Piece) -> list[StoredResult]:
         """
-        Start the stages that a piece reads again, as one of their results is gone.
+        Mark the stages that a piece reads to run again, as a result of them is lost.
 
-        Which one is not told; the others are returned, to be freed. Those that a
-        sibling has had started again already go on.
+        The endpoint does not say which result is missing, so all are computed again.
+        Returns the results that are still recorded, to be freed. Pieces that run again
+        already, because of a sibling of this piece, are left as they are.
         """
         self._record(piece).state = PieceState.WAITING
         return self._restart(self._stages[piece.stage].after)
 
-    def lose_request_inputs(self) -> list[StoredResult]:
-        """Start the last stages again, as a result that the request reads is gone."""
+    def invalidate_request_inputs(self) -> list[StoredResult]:
+        """Mark the last stages to run again, as a result the request reads is lost."""
         return self._restart(self.last_stages())
 
     def _restart(self, stages: Sequence[int]) -> list[StoredResult]:
-        lost: list[StoredResult] = []
+        removed: list[StoredResult] = []
         for index in stages:
-            lost += self._take_results(index)
+            removed += self._take_stage_results(index)
             for record in self._records[index]:
                 if record.state is PieceState.DONE:
                     record.state = PieceState.WAITING
-            lost += self._restart_unread(index)
-        return lost
+            removed += self._restart_freed_inputs(index)
+        return removed
 
-    def _restart_unread(self, index: int) -> list[StoredResult]:
-        """Start what a stage reads again where it was freed already."""
+    def _restart_freed_inputs(self, index: int) -> list[StoredResult]:
+        """Mark the stages before this one to run again if their results are freed."""
         after = self._stages[index].after
         freed = any(
             record.state is PieceState.DONE and record.result is None
-            for earlier in after
-            for record in self._records[earlier]
+            for input_stage in after
+            for record in self._records[input_stage]
         )
         return self._restart(after) if freed else []
 
-    def _take_results(self, index: int) -> list[StoredResult]:
-        taken = [r.result for r in self._records[index] if r.result is not None]
+    def _take_stage_results(self, index: int) -> list[StoredResult]:
+        results = [r.result for r in self._records[index] if r.result is not None]
         for record in self._records[index]:
             record.result = None
-        return taken
+        return results
 
     def _results(self, stages: Sequence[int]) -> tuple[StoredResult, ...]:
         return tuple(
@@ -240,14 +243,15 @@
     def _is_stage_done(self, index: int) -> bool:
         return all(r.state is PieceState.DONE for r in self._records[index])
 
-    def _is_fed(self, index: int) -> bool:
+    def _has_inputs(self, index: int) -> bool:
         return all(
             record.state is PieceState.DONE and record.result is not None
-            for earlier in self._stages[index].after
-            for record in self._records[earlier]
+            for input_stage in self._stages[index].after
+            for record in self._records[input_stage]
         )
 
     def _is_needed(self, index: int) -> bool:
-        # A stage whose readers are all done is not run again for its lost results.
+        # A stage whose readers are all done does not have to run, though its results
+        # may have been removed.
         readers = self.readers(index)
         return not readers or not all(self._is_stage_done(r) for r in readers)
--- a/packages/policy/src/amaranthtally/policy/piece_messages.py
+++ b/packages/policy/src/amaranthtally/policy/piece_messages.py
@@ -1,4 +1,4 @@
-"""What is asked of endpoints and entries about pieces, and what they tell."""
+"""Jobs that compute pieces, and the outcomes that endpoints and entries report."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,11 +6,18 @@
 
 from amaranthtally.policy.piece_graph import Piece, StoredResult
 
-__all__ = ["PieceJob", "PieceFault", "PieceOutcome", "PieceReport", "PiecesEnded"]
+__all__ = ["PieceFault", "PieceJob", "PieceOutcome", "PieceReport", "PiecesEnded"]
 
 
 class PieceFault(Enum):
-    """Why no result of a piece was made."""
+    """
+    Why a job ended without a result.
+
+    ``LATE``: its deadline passed. ``INPUT_MISSING``: a result that it reads is not
+    stored any more. ``NO_ROOM``: the endpoint has no memory for the result.
+    ``FAILED``: the call failed, or no endpoint takes calls. ``HANDED_BACK``: the entry
+    that it was submitted to shuts down or has no configuration, and did not run it.
+    """
 
     LATE = "late"
     INPUT_MISSING = "input_gone"
@@ -20,7 +27,7 @@
 
 
 class PieceOutcome(NamedTuple):
-    """A piece's result by its handle, or why there is none."""
+    """The handle of a piece's result, or the fault that prevented it."""
 
     handle: str = ""
     fault: PieceFault | None = None
@@ -29,10 +36,11 @@
 @dataclass(frozen=True, slots=True)
 class PiecesEnded:
     """
-    The end of a call with pieces; ``outcomes`` in the order in which they were sent.
+    The end of a call with pieces; ``outcomes`` are in the order of the call's pieces.
 
-    Without outcomes the call failed as a whole: ``refused`` where the endpoint said
-    that it did not start. ``running`` and ``queued`` are its load, where it told it.
+    Without outcomes the call failed as a whole, and ``refused`` tells whether the
+    endpoint answered that it did not start. ``running`` and ``queued`` are the numbers
+    of calls at the endpoint; ``running`` is ``None`` if it did not report them.
     """
 
     outcomes: tuple[PieceOutcome, ...] = ()
@@ -44,13 +52,14 @@
 @dataclass(frozen=True, slots=True)
 class PieceJob:
     """
-    A piece that an entry wants made in a data centre; times are time stamps.
-
-    Its call must begin by ``start_by`` for its request to be on time, and by
-    ``deadline`` for it to be answered at all. ``asker`` names the entry, empty for
-    this one. ``key`` or ``inputs`` are what the piece reads, ``siblings`` the
-    pieces of its stage, itself included, that read the same. ``is_started`` says that
-    other pieces of its request have been made.
+    A piece to be computed in a data centre; times are time stamps in seconds.
+
+    The call must begin by ``start_by`` for the request to meet its objective, and by
+    ``deadline`` for the request to be answered at all. ``submitter`` names the entry
+    that submitted the job, empty for this entry. The piece reads either ``key`` or
+    ``inputs``. ``siblings`` counts the pieces of its stage, itself included, which all
+    read the same inputs. ``is_started`` tells whether any piece of its request has
+    been computed.
     """
 
     piece: Piece
@@ -64,15 +73,16 @@
     inputs: tuple[StoredResult, ...] = ()
     siblings: int = 1
     is_started: bool = False
-    asker: str = ""
+    submitter: str = ""
 
 
 class PieceReport(NamedTuple):
     """
-    What became of a piece that was asked for; ``wait_s`` is the wait there of its rank.
+    The outcome of a job, and the load of the pool site where it was run.
 
-    ``slowdown_s`` is by how much longer than usual a call takes there.
-    ``inputs_freed`` says that what it read was freed as soon as it had been read.
+    ``wait_s`` is how long a new job of the same priority would wait for a call there,
+    ``slowdown_s`` how much longer than usual a call takes there, both in seconds.
+    ``inputs_freed`` tells that the piece's inputs have been freed already.
     """
 
     piece: Piece
--- a/packages/policy/src/amaranthtally/policy/piece_queue.py
+++ b/packages/policy/src/amaranthtally/policy/piece_queue.py
@@ -1,65 +1,69 @@
-"""Pieces that wait for a call, by request and in the order in which they go."""
+"""Queued pieces, their order of urgency, and their grouping by request."""
 
 from dataclasses import dataclass
 
 from amaranthtally.policy.piece_messages import PieceJob
 from amaranthtally.policy.routes import PieceLimits
 
-__all__ = ["QueuedPiece", "take_fitting", "by_part"]
+__all__ = ["QueuedPiece", "group_by_part", "take_fitting"]
 
 
-# How much later a request is taken to be due for each second that its pieces take from
-# others, in seconds.
+# How many seconds later a request is sorted for each second of call time that its
+# pieces take from other requests.
 SIZE_WEIGHT = 2.0
 
 
 @dataclass(slots=True)
 class QueuedPiece:
-    """A piece that waits for a call since a time stamp."""
+    """A job that has been waiting for a call since the time stamp ``queued_at``."""
 
-    ask: PieceJob
-    since: float
+    job: PieceJob
+    queued_at: float
 
     def urgency(self, now: float, share_s: float) -> tuple[bool, int, float, str]:
         """
-        Return a sort key: first who can still be on time, of them the most urgent.
+        Return a sort key that puts requests that can still be on time first.
 
-        What is late already earns its caller little: served first, it would make
-        others late as well, and in a burst all would be. Among equals a request goes
-        behind others by what its pieces take from them, ``share_s`` seconds each:
-        the largest have to begin first to be on time, and would each make several
-        small ones late.
+        A request that is late already has little value for its caller. If late requests
+        were served first, they would make others late too, in a burst all of them.
+
+        Requests of equal priority are sorted by the time at which their call must
+        begin, and larger ones are moved back by the call time that their pieces take,
+        ``share_s`` seconds each. The largest requests have to begin first to be on
+        time; without the shift, each of them would make several small ones late.
         """
-        ask = self.ask
-        late = now > ask.start_by
-        due = ask.start_by + SIZE_WEIGHT * share_s * ask.siblings
-        return (late, ask.priority, due, ask.piece.request_id)
+        job = self.job
+        late = now > job.start_by
+        sort_time = job.start_by + SIZE_WEIGHT * share_s * job.siblings
+        return (late, job.priority, sort_time, job.piece.request_id)
 
 
-def by_part(queue: list[QueuedPiece], limits: PieceLimits) -> list[list[QueuedPiece]]:
+def group_by_part(
+    queue: list[QueuedPiece], limits: PieceLimits
+) -> list[list[QueuedPiece]]:
     """
-    Return the pieces of each request together, whichever stages they belong to.
+    Return the queued pieces grouped by request, whichever stages they belong to.
 
-    Parted by stage, the branch of a graph that has more time would wait until it is
-    late, and meanwhile the results of the others run out of theirs. Only a stage that
-    is larger than a call is parted.
+    If the stages of a request were grouped separately, the branch of its graph that has
+    more time would wait until it is late, and meanwhile the stored results of the other
+    branches expire. Only a stage with more pieces than a call accepts is split.
     """
     groups: dict[tuple[str, int], list[QueuedPiece]] = {}
-    for waiting in queue:
-        piece = waiting.ask.piece
-        part = limits.part_of(piece.number, waiting.ask.siblings)
-        groups.setdefault((piece.request_id, part), []).append(waiting)
+    for queued in queue:
+        piece = queued.job.piece
+        part = limits.part_of(piece.number, queued.job.siblings)
+        groups.setdefault((piece.request_id, part), []).append(queued)
     return list(groups.values())
 
 
 def take_fitting(
-    group: list[QueuedPiece], places: int, room: float
+    group: list[QueuedPiece], capacity: int, free_bytes: float
 ) -> list[QueuedPiece]:
-    """Return as many pieces as fit, of a group that is too large for one call."""
+    """Return the first pieces of a group, as many as fit into one call."""
     chosen: list[QueuedPiece] = []
-    for waiting in group[:places]:
-        room -= waiting.ask.result_bytes
-        if room < 0:
+    for queued in group[:capacity]:
+        free_bytes -= queued.job.result_bytes
+        if free_bytes < 0:
             break
-        chosen.append(waiting)
+        chosen.append(queued)
     return chosen
--- a/packages/policy/src/amaranthtally/policy/pool_sites.py
+++ b/packages/policy/src/amaranthtally/policy/pool_sites.py
@@ -1,37 +1,42 @@
-"""Which entry calls a pool's endpoints in a data centre, and how long one waits."""
+"""
+Ownership and load of pool sites.
+
+A pool site is the set of a pool's endpoints in one data centre. One entry, the site's
+owner, calls these endpoints on behalf of all entries.
+"""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
 from amaranthtally.policy.model import Endpoint
-from amaranthtally.policy.piece_servers import speed_faded
+from amaranthtally.policy.piece_servers import speed_weight
 from amaranthtally.policy.rendezvous import rendezvous_weight
 
 __all__ = ["Peer", "PoolSites"]
 
-# What running away from the entry's own data centre counts for, in seconds: the way
-# there, and what the results' traffic costs, against waiting.
-AWAY_REGION_S = 0.05
-AWAY_CENTRE_S = 0.02
-# How much longer a wait is accepted for a byte that crosses no link, in seconds: 0.45
-# for a result of 1.5 MB, which by the users' prices costs a thirtieth of the request
-# that reads it, and a third of the cheapest that does.
+# Penalty for running a stage outside the entry's own data centre or region, in seconds
+# of waiting time: the network delay, and the cost of the traffic for the results.
+OTHER_REGION_S = 0.05
+OTHER_CENTRE_S = 0.02
+# Extra waiting time accepted for each byte that then crosses no link, in seconds. For a
+# result of 1.5 MB this is 0.45 s. At the users' prices, that traffic costs a thirtieth
+# of the request that reads the result, and a third of the cheapest such request.
 CROSSING_S_PER_BYTE = 0.3e-6
-# The part of the time that a request can spare which may go into such a wait.
+# The share of a request's spare time that may be used for this extra wait.
 SPARED_SHARE = 0.25
-# How long a place that failed is left alone, in seconds; each failure in a row
-# doubles it up to the longest. An endpoint that restarts is away for a few.
-FIRST_SHUT_S = 0.5
-LONGEST_SHUT_S = 4.0
-# How long a peer that did not answer gets no pieces, in seconds.
-PEER_SHUT_S = 3.0
+# How long a site where a call failed is avoided, in seconds; each failure in a row
+# doubles it up to the longest. An endpoint that restarts is down for a few seconds.
+FIRST_PAUSE_S = 0.5
+LONGEST_PAUSE_S = 4.0
+# How long no jobs are submitted to a peer that did not answer, in seconds.
+PEER_PAUSE_S = 3.0
 
 NO_SAVED_BYTES: Mapping[str, float] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """Another entry that is alive."""
+    """Another live entry."""
 
     name: str
     data_centre: str
@@ -39,30 +44,33 @@
 
 @dataclass(slots=True)
 class _Wait:
+    """A wait that was reported at a time stamp; it shrinks as time passes."""
+
     wait_s: float = 0.0
-    at: float = 0.0
+    reported_at: float = 0.0
 
-    def left_s(self, now: float) -> float:
-        return max(0.0, self.wait_s - (now - self.at))
+    def remaining_s(self, now: float) -> float:
+        return max(0.0, self.wait_s - (now - self.reported_at))
 
 
 @dataclass(slots=True)
-class _Place:
+class _Site:
     waits: dict[int, _Wait] = field(default_factory=dict)
     slowdown_s: float = 0.0
-    slower_at: float = 0.0
-    shut_until: float = 0.0
+    slowdown_reported_at: float = 0.0
+    paused_until: float = 0.0
     failures: int = 0
 
 
 class PoolSites:
     """
-    Finds an owner for each pool in each data centre, without any agreement.
+    Determines the owner of each pool site, and tracks how long pieces wait there.
 
-    Every entry ranks all live entries for a place by one hash, those of the same
-    data centre first, and asks the first. Entries that differ in whom they take for
-    alive ask different owners for a while: pieces may be made twice, so that costs
-    efficiency and nothing else.
+    Owners are found by rendezvous hashing, without communication: each entry ranks the
+    live entries for a site by a hash, those in the site's data centre first, and takes
+    the first as owner. Entries that disagree about which entries are alive may use
+    different owners for some time. Pieces may safely be computed twice, so this costs
+    only efficiency.
     """
 
     def __init__(self) -> None:
@@ -71,63 +79,65 @@
         self._data_centre = ""
         self._peers: dict[str, Peer] = {}
         self._leaving = False
-        self._peer_shut: dict[str, float] = {}
-        self._places: dict[tuple[str, str], _Place] = {}
+        self._peer_paused_until: dict[str, float] = {}
+        self._sites: dict[tuple[str, str], _Site] = {}
 
     def configure(self, name: str, region: str, data_centre: str) -> None:
-        """Use this entry's own name and place."""
+        """Set this entry's own name, region and data centre."""
         self._name = name
         self._region = region
         self._data_centre = data_centre
 
     def replace_peers(self, peers: Iterable[Peer]) -> None:
-        """Use these live entries beside this one."""
+        """Replace the set of other live entries."""
         self._peers = {peer.name: peer for peer in peers if peer.name != self._name}
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this entry leaves."""
+        """Whether this entry is shutting down."""
         return self._leaving
 
     def leave(self) -> None:
-        """Own nothing from now on, as this entry leaves."""
+        """Give up ownership of all sites, as this entry is shutting down."""
         self._leaving = True
 
     def owner(self, now: float, pool: str, data_centre: str) -> str:
-        """Return the entry that calls a pool's endpoints there; empty: this one."""
-        own = Peer(self._name, self._data_centre)
-        alive = [p for p in self._peers.values() if not self._is_shut(now, p.name)]
+        """Return the name of a site's owner, empty if it is this entry."""
+        this_entry = Peer(self._name, self._data_centre)
+        alive = [p for p in self._peers.values() if not self._is_paused(now, p.name)]
         if not self._leaving or not alive:
-            alive.append(own)
-        near = [p for p in alive if p.data_centre == data_centre]
+            alive.append(this_entry)
+        in_data_centre = [p for p in alive if p.data_centre == data_centre]
         key = f"{pool}/{data_centre}"
-        chosen = min(near or alive, key=lambda peer: rendezvous_weight(peer.name, key))
+        chosen = min(
+            in_data_centre or alive, key=lambda peer: rendezvous_weight(peer.name, key)
+        )
         return "" if chosen.name == self._name else chosen.name
 
     def peer_failed(self, now: float, peer: str) -> None:
-        """Ask a peer for nothing for a while, or until it is heard from."""
-        self._peer_shut[peer] = now + PEER_SHUT_S
+        """Submit no jobs to a peer for a while, or until it is known to be back."""
+        self._peer_paused_until[peer] = now + PEER_PAUSE_S
 
     def peer_recovered(self, peer: str) -> None:
         """
-        Ask a peer again, as it answers and takes part.
+        Submit jobs to a peer again, as it answers and is ready.
 
-        The failure: after a loss of power the first entry to start finds the others'
-        ports closed, and left them alone though they were up 0.1 s later. Two entries
-        called each endpoint for three to six seconds, their calls found no room, and
-        a quarter of the requests of the next ten seconds was late.
+        After a loss of power, the first entry to start finds the ports of the others
+        closed, although they are up 0.1 s later. When it kept avoiding them, two
+        entries called each endpoint for three to six seconds, their calls found no room
+        for results, and a quarter of the requests of the next ten seconds were late.
         """
-        self._peer_shut.pop(peer, None)
+        self._peer_paused_until.pop(peer, None)
 
     def unavailable_peers(self, now: float) -> frozenset[str]:
-        """Return the live peers that are asked for nothing now."""
-        return frozenset(name for name in self._peers if self._is_shut(now, name))
+        """Return the live peers that no jobs are submitted to, as they failed."""
+        return frozenset(name for name in self._peers if self._is_paused(now, name))
 
-    def distance_s(self, endpoint: Endpoint) -> float:
-        """Return what it counts for to run at an endpoint, in seconds."""
+    def distance_penalty_s(self, endpoint: Endpoint) -> float:
+        """Return the penalty for running a stage at an endpoint, in seconds."""
         if endpoint.data_centre == self._data_centre:
             return 0.0
-        return AWAY_CENTRE_S if endpoint.region == self._region else AWAY_REGION_S
+        return OTHER_CENTRE_S if endpoint.region == self._region else OTHER_REGION_S
 
     # Waits
 
@@ -141,47 +151,51 @@
         rank: int = 0,
     ) -> None:
         """
-        Learn how long pieces of a rank wait at a place; it works.
+        Record how long pieces of a rank wait at a site, and that the site works.
 
-        More urgent ones wait no longer there, and less urgent ones no less.
+        The waits of more urgent ranks are lowered to ``wait_s`` and those of less
+        urgent ranks raised to it, as pieces are served in order of rank.
 
-        ``slowdown_s`` is by how much longer than usual a call takes there. A queue gets
-        shorter while nothing is heard of it, a slow endpoint no faster: counted alike,
-        it looked free a second after each of its calls, and was always busy.
+        ``slowdown_s`` is how much longer than usual a call takes there. It is kept
+        apart from the wait, since a queue shrinks while there is no report, but a slow
+        endpoint stays slow. When both were one figure, a slow site looked free a second
+        after each of its calls and was always busy.
         """
-        place = self._of(pool, data_centre)
-        for other, wait in place.waits.items():
-            left_s = wait.left_s(now)
-            if (other < rank and left_s > wait_s) or (other > rank and left_s < wait_s):
-                place.waits[other] = _Wait(wait_s, now)
-        place.waits[rank] = _Wait(wait_s, now)
-        place.slowdown_s = slowdown_s
-        place.slower_at = now
-        place.failures = 0
+        site = self._site(pool, data_centre)
+        for known_rank, wait in site.waits.items():
+            remaining_s = wait.remaining_s(now)
+            if (known_rank < rank and remaining_s > wait_s) or (
+                known_rank > rank and remaining_s < wait_s
+            ):
+                site.waits[known_rank] = _Wait(wait_s, now)
+        site.waits[rank] = _Wait(wait_s, now)
+        site.slowdown_s = slowdown_s
+        site.slowdown_reported_at = now
+        site.failures = 0
 
     def note_submitted(
-        self, now: float, pool: str, data_centre: str, more_s: float, rank: int = 0
+        self, now: float, pool: str, data_centre: str, added_s: float, rank: int = 0
     ) -> None:
-        """Count what was asked for since the place was last heard of."""
-        place = self._of(pool, data_centre)
-        place.waits.setdefault(rank, _Wait(self._queue_s(now, place, rank), now))
-        for other, wait in place.waits.items():
-            if other >= rank:
-                place.waits[other] = _Wait(wait.left_s(now) + more_s, now)
-
-    def failed(self, now: float, pool: str, data_centre: str) -> None:
-        """Leave a place alone for a while."""
-        place = self._of(pool, data_centre)
-        if now < place.shut_until:
+        """Add a submitted piece to the waits, until the site's next report."""
+        site = self._site(pool, data_centre)
+        site.waits.setdefault(rank, _Wait(self._queue_s(now, site, rank), now))
+        for known_rank, wait in site.waits.items():
+            if known_rank >= rank:
+                site.waits[known_rank] = _Wait(wait.remaining_s(now) + added_s, now)
+
+    def note_failure(self, now: float, pool: str, data_centre: str) -> None:
+        """Avoid a site for a while, as a call failed there."""
+        site = self._site(pool, data_centre)
+        if now < site.paused_until:
             return
-        place.shut_until = now + min(LONGEST_SHUT_S, FIRST_SHUT_S * 2**place.failures)
-        place.failures += 1
+        site.paused_until = now + min(LONGEST_PAUSE_S, FIRST_PAUSE_S * 2**site.failures)
+        site.failures += 1
 
     def wait_s(self, now: float, pool: str, data_centre: str, rank: int = 0) -> float:
-        """Return by how much later than in a free place a piece would be made."""
-        place = self._of(pool, data_centre)
-        slowdown_s = place.slowdown_s * speed_faded(now - place.slower_at)
-        return self._queue_s(now, place, rank) + slowdown_s
+        """Return how much later than at an idle site a piece is done, in seconds."""
+        site = self._site(pool, data_centre)
+        slowdown_s = site.slowdown_s * speed_weight(now - site.slowdown_reported_at)
+        return self._queue_s(now, site, rank) + slowdown_s
 
     def best_data_centre(
         self,
@@ -193,36 +207,36 @@
         rank: int = 0,
     ) -> str | None:
         """
-        Return the data centre in which to run pieces of a stage.
+        Return the data centre in which to run a stage, ``None`` without candidates.
 
-        ``candidates`` holds an endpoint of each data centre; ``None`` without any.
+        ``candidates`` maps each data centre with endpoints of the pool to one of them.
         ``saved_bytes`` maps a data centre to the bytes that cross no link if the stage
         runs there: the inputs stored there, and the results read there later. The more
         time the request can spare, the longer it may wait to save that traffic.
         """
-        most_s = SPARED_SHARE * max(0.0, spare_s)
-        open_places = {
+        most_extra_s = SPARED_SHARE * max(0.0, spare_s)
+        open_sites = {
             name: endpoint
             for name, endpoint in candidates.items()
-            if now >= self._of(pool, name).shut_until
+            if now >= self._site(pool, name).paused_until
         } or candidates
         return min(
-            open_places,
+            open_sites,
             key=lambda name: (
                 self.wait_s(now, pool, name, rank)
-                + self.distance_s(open_places[name])
-                - min(most_s, CROSSING_S_PER_BYTE * saved_bytes.get(name, 0.0))
+                + self.distance_penalty_s(open_sites[name])
+                - min(most_extra_s, CROSSING_S_PER_BYTE * saved_bytes.get(name, 0.0))
             ),
             default=None,
         )
 
-    def _queue_s(self, now: float, place: _Place, rank: int) -> float:
-        """Return the wait of a rank, or of the next more urgent that is known."""
-        known = max((r for r in place.waits if r <= rank), default=None)
-        return 0.0 if known is None else place.waits[known].left_s(now)
+    def _queue_s(self, now: float, site: _Site, rank: int) -> float:
+        """Return the wait of a rank, or of the closest more urgent rank recorded."""
+        known_rank = max((r for r in site.waits if r <= rank), default=None)
+        return 0.0 if known_rank is None else site.waits[known_rank].remaining_s(now)
 
-    def _is_shut(self, now: float, peer: str) -> bool:
-        return now < self._peer_shut.get(peer, 0.0)
+    def _is_paused(self, now: float, peer: str) -> bool:
+        return now < self._peer_paused_until.get(peer, 0.0)
 
-    def _of(self, pool: str, data_centre: str) -> _Place:
-        return self._places.setdefault((pool, data_centre), _Place())
+    def _site(self, pool: str, data_centre: str) -> _Site:
+        return self._sites.setdefault((pool, data_centre), _Site())
--- a/packages/policy/src/amaranthtally/policy/request_inputs.py
+++ b/packages/policy/src/amaranthtally/policy/request_inputs.py
@@ -1,4 +1,4 @@
-"""What requests read before they run: whether it can be made, and until when kept."""
+"""Admits requests by the predicted time of their stages, and frees their inputs."""
 
 from collections import deque
 from random import Random
@@ -14,24 +14,24 @@
 
 __all__ = ["RequestInputs"]
 
-# When to come back at the soonest after pieces found no place, in seconds: the time of
-# two or three calls. Bursts last for several seconds, and a caller that comes back into
-# the same crowd is refused a second time.
-LEAST_RETURN_S = 0.8
-# When an engine has fetched a request's inputs, in seconds from its sending: three
-# times the way there and back and the transfer of a few results of 1.5 MB.
+# Least time after which callers are told to retry a refused request, in seconds: the
+# time of two or three calls. Bursts last for several seconds, and a caller that retries
+# during the same burst is refused a second time.
+MIN_RETRY_AFTER_S = 0.8
+# Time from sending a request until its engine has fetched the inputs, in seconds: three
+# round trips, and the transfer of a few results of 1.5 MB.
 FETCH_S = 0.1
 
 
-class _Reading(NamedTuple):
-    """When a request's engine has fetched its inputs."""
+class _Fetch(NamedTuple):
+    """The time stamp by which a request's engine has fetched its inputs."""
 
-    at: float
+    done_at: float
     request_id: str
 
 
 class RequestInputs:
-    """Admits requests by the pieces that they need, and frees what they have read."""
+    """Admits requests by their stages, and frees the inputs that engines have read."""
 
     def __init__(
         self, random: Random, coordinator: PieceCoordinator, times: StageTimes
@@ -39,70 +39,70 @@
         self._random = random
         self._coordinator = coordinator
         self._times = times
-        self._reading: deque[_Reading] = deque()
+        self._fetches: deque[_Fetch] = deque()
 
     def judge(self, now: float, arrival: Arrival, work: PieceWork) -> Verdict:
         """
-        Refuse what its pieces alone would make late beyond use.
+        Refuse a request whose pieces are predicted to miss their deadline.
 
-        Their endpoints are the first to be full: what waits there past its deadline
-        takes the place of what could still be answered.
+        The endpoints for pieces are the first to be overloaded. A piece that waits
+        there past its deadline delays requests that could still be answered.
         """
         needed_s = self._coordinator.plans.predicted_s(
             now, work.stages, work.counts, arrival.priority
         )
-        late_s = now + needed_s - self.pieces_deadline(arrival)
-        if late_s <= 0:
+        excess_s = now + needed_s - self.pieces_deadline(arrival)
+        if excess_s <= 0:
             return ADMITTED
-        return Verdict(Reason.OVERLOAD, max(late_s, self.retry_after_s(now, arrival)))
+        return Verdict(Reason.OVERLOAD, max(excess_s, self.retry_after_s(now, arrival)))
 
     def pieces_deadline(self, arrival: Arrival) -> float:
         """
-        Return the time stamp by which the pieces of a request must be made.
+        Return the time stamp by which the pieces of a request must be done.
 
-        Made later, they would reach an engine that has no time left to answer: the
-        caller would be held to its deadline and then hear nothing of when to return.
+        Results that are ready later leave the engine no time to answer. The caller
+        would wait until its deadline, and not be told when to retry.
         """
         run_s = self._times.floor_s(arrival.pipeline.stages)
         return min(arrival.begin_by, arrival.deadline - run_s)
 
     def retry_after_s(self, now: float, arrival: Arrival) -> float:
-        """Return when a request that found no place may come back and find one."""
+        """Return after how many seconds to retry a request refused for overload."""
         if arrival.work is None:
             return 0.0
         backlog_s = self._coordinator.plans.backlog_s(
             now, arrival.work.stages, arrival.priority
         )
-        return max(LEAST_RETURN_S, backlog_s) * (1.0 + self._random.random())
+        return max(MIN_RETRY_AFTER_S, backlog_s) * (1.0 + self._random.random())
 
     def note_sent(self, now: float, request: Request) -> None:
-        """Note that a request is sent to the engine that reads its inputs."""
+        """Record that a request is sent to the engine that fetches its inputs."""
         if request.inputs:
-            self._reading.append(_Reading(now + FETCH_S, request.id))
+            self._fetches.append(_Fetch(now + FETCH_S, request.id))
 
     def free_fetched(self, now: float, ledger: Ledger) -> list[Action]:
         """
-        Free the inputs of requests that their engines have fetched by now.
+        Return actions that free the inputs that engines have fetched by now.
 
-        Makers' memory holds some ten results of the largest kind. An engine fetches
-        its inputs as a request comes, and answers with its first token 0.3 s later:
-        freed then, they would take twice as long a share of it.
+        An endpoint has memory for about ten results of the largest kind. An engine
+        fetches the inputs when a request arrives, and sends its first token 0.3 s
+        later. If the inputs were freed only then, they would occupy twice the share.
         """
         actions: list[Action] = []
-        while self._reading and self._reading[0].at <= now:
-            request = ledger.find(self._reading.popleft().request_id)
+        while self._fetches and self._fetches[0].done_at <= now:
+            request = ledger.find(self._fetches.popleft().request_id)
             if request is None or not request.live or not request.inputs:
                 continue
-            # One that was sent again is read by another engine, from then on.
+            # A request that was sent again is fetched anew, by another engine.
             sent_at = max(attempt.sent_at for attempt in request.live.values())
             if sent_at + FETCH_S > now:
-                self._reading.append(_Reading(sent_at + FETCH_S, request.id))
+                self._fetches.append(_Fetch(sent_at + FETCH_S, request.id))
             else:
                 actions += self.free(now, request)
         return actions
 
     def free(self, now: float, request: Request) -> list[Action]:
-        """Free what a request has read, as it runs."""
+        """Return actions that free a request's inputs, as its engine has read them."""
         if not request.inputs:
             return []
         request.inputs = ()
--- a/packages/policy/src/amaranthtally/policy/result_releaser.py
+++ b/packages/policy/src/amaranthtally/policy/result_releaser.py
@@ -1,4 +1,4 @@
-"""Frees results that are read no more, wherever they are kept."""
+"""Frees stored results that are not needed any more, in whichever data centre."""
 
 from collections.abc import Iterable
 
@@ -7,30 +7,30 @@
 from amaranthtally.policy.piece_graph import StoredResult
 from amaranthtally.policy.pool_sites import PoolSites
 
-__all__ = ["ResultFreer"]
+__all__ = ["ResultReleaser"]
 
 
-class ResultFreer:
-    """Has results dropped by the entries that call their makers."""
+class ResultReleaser:
+    """Has stored results deleted, through the owners of the sites that store them."""
 
-    def __init__(self, batcher: Batcher, places: PoolSites) -> None:
+    def __init__(self, batcher: Batcher, sites: PoolSites) -> None:
         self._batcher = batcher
-        self._places = places
+        self._sites = sites
 
     def free(self, now: float, results: Iterable[StoredResult]) -> list[Action]:
-        """Return what drops the results; those of makers that have gone are left."""
+        """Return actions that free results; those of unknown endpoints are skipped."""
         by_owner: dict[str, list[StoredResult]] = {}
         for result in results:
             server = self._batcher.servers.find(result.endpoint)
             if server is None:
                 continue
             pool = server.endpoint.pool
-            owner = self._places.owner(now, pool, result.data_centre)
+            owner = self._sites.owner(now, pool, result.data_centre)
             by_owner.setdefault(owner, []).append(result)
         actions: list[Action] = []
-        for owner, held in by_owner.items():
+        for owner, owned in by_owner.items():
             if owner:
-                actions.append(FreeAtPeer(owner, tuple(held)))
+                actions.append(FreeAtPeer(owner, tuple(owned)))
             else:
-                actions += self._batcher.free(now, held)
+                actions += self._batcher.free(now, owned)
         return actions
--- a/packages/policy/src/amaranthtally/policy/site_queue.py
+++ b/packages/policy/src/amaranthtally/policy/site_queue.py
@@ -1,4 +1,4 @@
-"""The pieces that wait for the endpoints of one pool in one data centre."""
+"""The pieces that wait for the endpoints of one pool site."""
 
 from bisect import bisect_left, insort
 from collections import Counter
@@ -12,20 +12,20 @@
 
 class SiteQueue:
     """
-    Waiting pieces in the order in which they came.
+    Queued pieces in order of arrival.
 
-    Each decision asks how many of them can still be on time, by rank, and whether any
-    is too late. Counted anew, that took longer the longer the queue: in a burst an
-    entry's decisions would take all of its processor. So the times by which calls must
-    begin are kept in order, by rank, beside the pieces.
+    Each decision needs the number of pieces that can still be on time, by rank, and
+    whether any has passed its deadline. Counting them each time takes longer the longer
+    the queue is; in a burst, an entry's decisions would use all of its processor. So
+    the latest start times of the pieces are kept in sorted lists, one for each rank.
     """
 
     def __init__(self) -> None:
         self._waiting: list[QueuedPiece] = []
         self._starts: dict[int, list[float]] = {}
-        self._unbegun_starts: list[float] = []
-        self._of_request: Counter[str] = Counter()
-        # No deadline of a waiting piece is earlier.
+        self._unstarted_starts: list[float] = []
+        self._request_counts: Counter[str] = Counter()
+        # Lower bound of the deadlines of all queued pieces.
         self._first_deadline = inf
 
     def __len__(self) -> int:
@@ -36,76 +36,84 @@
 
     @property
     def waiting(self) -> list[QueuedPiece]:
-        """The pieces in the order in which they came; not to be changed."""
+        """The pieces in order of arrival; the list must not be changed."""
         return self._waiting
 
-    def add(self, waiting: QueuedPiece) -> None:
-        """Add a piece."""
-        ask = waiting.ask
-        self._waiting.append(waiting)
-        self._of_request[ask.piece.request_id] += 1
-        insort(self._starts.setdefault(ask.priority, []), ask.start_by)
-        if _is_unbegun(waiting):
-            insort(self._unbegun_starts, ask.start_by)
-        self._first_deadline = min(self._first_deadline, ask.deadline)
-
-    def remove(self, several: Iterable[QueuedPiece]) -> None:
-        """Remove these pieces."""
-        taken = {id(waiting): waiting for waiting in several}
-        if not taken:
+    def add(self, queued: QueuedPiece) -> None:
+        """Append a piece."""
+        job = queued.job
+        self._waiting.append(queued)
+        self._request_counts[job.piece.request_id] += 1
+        insort(self._starts.setdefault(job.priority, []), job.start_by)
+        if _is_unstarted(queued):
+            insort(self._unstarted_starts, job.start_by)
+        self._first_deadline = min(self._first_deadline, job.deadline)
+
+    def remove(self, pieces: Iterable[QueuedPiece]) -> None:
+        """Remove pieces, which are compared by identity."""
+        removed = {id(queued): queued for queued in pieces}
+        if not removed:
             return
-        self._waiting = [one for one in self._waiting if id(one) not in taken]
-        for waiting in taken.values():
-            ask = waiting.ask
-            self._forget_one_of(ask.piece.request_id)
-            _drop(self._starts[ask.priority], ask.start_by)
-            if _is_unbegun(waiting):
-                _drop(self._unbegun_starts, ask.start_by)
-
-    def take(self, wanted: Callable[[QueuedPiece], bool]) -> list[QueuedPiece]:
-        """Remove and return the pieces that a question is answered with yes for."""
-        found = [waiting for waiting in self._waiting if wanted(waiting)]
-        self.remove(found)
-        return found
+        self._waiting = [q for q in self._waiting if id(q) not in removed]
+        for queued in removed.values():
+            job = queued.job
+            self._decrement_count(job.piece.request_id)
+            _remove_sorted(self._starts[job.priority], job.start_by)
+            if _is_unstarted(queued):
+                _remove_sorted(self._unstarted_starts, job.start_by)
+
+    def take(self, is_wanted: Callable[[QueuedPiece], bool]) -> list[QueuedPiece]:
+        """Remove and return the pieces for which the predicate is true."""
+        taken = [queued for queued in self._waiting if is_wanted(queued)]
+        self.remove(taken)
+        return taken
 
     def take_request(self, request_id: str) -> list[QueuedPiece]:
         """Remove and return the pieces of a request."""
-        if request_id not in self._of_request:
+        if request_id not in self._request_counts:
             return []
-        return self.take(lambda one: one.ask.piece.request_id == request_id)
+        return self.take(lambda queued: queued.job.piece.request_id == request_id)
 
     def take_late(self, now: float) -> list[QueuedPiece]:
-        """Remove and return what has passed its deadline."""
+        """Remove and return the pieces whose deadline has passed."""
         if now < self._first_deadline:
             return []
-        found = self.take(lambda waiting: waiting.ask.deadline <= now)
-        deadlines = (waiting.ask.deadline for waiting in self._waiting)
+        taken = self.take(lambda queued: queued.job.deadline <= now)
+        deadlines = (queued.job.deadline for queued in self._waiting)
         self._first_deadline = min(deadlines, default=inf)
-        return found
+        return taken
 
-    def take_late_unbegun(self, now: float) -> list[QueuedPiece]:
-        """Remove and return what can't be on time and of which nothing was made."""
-        if not self._unbegun_starts or self._unbegun_starts[0] >= now:
+    def take_late_unstarted(self, now: float) -> list[QueuedPiece]:
+        """
+        Remove and return the pieces that can't be on time any more.
+
+        Pieces of requests that other pieces have been computed for stay queued.
+        """
+        if not self._unstarted_starts or self._unstarted_starts[0] >= now:
             return []
-        return self.take(lambda one: now > one.ask.start_by and _is_unbegun(one))
+        return self.take(lambda q: now > q.job.start_by and _is_unstarted(q))
 
     def on_time(self, now: float, rank: int | None = None) -> int:
-        """Return how many can be on time; of a rank and those more urgent if given."""
+        """
+        Return how many pieces can still be on time.
+
+        With ``rank``, only pieces of that rank and of more urgent ones are counted.
+        """
         return sum(
             len(starts) - bisect_left(starts, now)
-            for other, starts in self._starts.items()
-            if rank is None or other <= rank
+            for queued_rank, starts in self._starts.items()
+            if rank is None or queued_rank <= rank
         )
 
-    def _forget_one_of(self, request_id: str) -> None:
-        self._of_request[request_id] -= 1
-        if not self._of_request[request_id]:
-            del self._of_request[request_id]
+    def _decrement_count(self, request_id: str) -> None:
+        self._request_counts[request_id] -= 1
+        if not self._request_counts[request_id]:
+            del self._request_counts[request_id]
 
 
-def _is_unbegun(waiting: QueuedPiece) -> bool:
-    return not (waiting.ask.is_started or waiting.ask.inputs)
+def _is_unstarted(queued: QueuedPiece) -> bool:
+    return not (queued.job.is_started or queued.job.inputs)
 
 
-def _drop(ordered: list[float], value: float) -> None:
-    del ordered[bisect_left(ordered, value)]
+def _remove_sorted(values: list[float], value: float) -> None:
+    del values[bisect_left(values, value)]
--- a/packages/policy/src/amaranthtally/policy/stage_plans.py
+++ b/packages/policy/src/amaranthtally/policy/stage_plans.py
@@ -1,4 +1,4 @@
-"""What the stages of requests are predicted to take, and where they run best."""
+"""Predicts how long the stages of requests take, and chooses where they run."""
 
 from collections.abc import Mapping
 
@@ -14,26 +14,26 @@
 
 class StagePlans:
     """
-    Plans stages by what is known of places and of the calls of this entry.
+    Plans stages by the waits reported for pool sites and by this entry's own queues.
 
-    Times are time stamps, and lengths of time, in seconds.
+    All times are in seconds; ``now`` and deadlines are time stamps.
     """
 
-    def __init__(self, places: PoolSites, batcher: Batcher) -> None:
-        self._places = places
+    def __init__(self, sites: PoolSites, batcher: Batcher) -> None:
+        self._sites = sites
         self._batcher = batcher
         self._pools: Mapping[str, Pool] = {}
 
     @property
-    def knows_pools(self) -> bool:
-        """Whether there is a configuration."""
+    def is_configured(self) -> bool:
+        """Whether any pools are configured."""
         return bool(self._pools)
 
     def configure(self, pools: Mapping[str, Pool]) -> None:
         """Use these pools."""
         self._pools = pools
 
-    # Times
+    # Predicted times
 
     def predicted_s(
         self,
@@ -42,7 +42,7 @@
         counts: tuple[int, ...],
         rank: int,
     ) -> float:
-        """Return how long the pieces of a request would take if it came now."""
+        """Return how long the stages of a request take if it arrives now."""
         ends: list[float] = []
         for index, stage in enumerate(stages):
             count = counts[index] if index < len(counts) else 0
@@ -51,27 +51,27 @@
         return max(ends, default=0.0)
 
     def backlog_s(self, now: float, stages: tuple[PieceStage, ...], rank: int) -> float:
-        """Return the longest wait for a call of these stages' pools."""
-        waits = [self.stage_s(now, stage.pool, rank) for stage in stages]
-        return max(waits, default=0.0)
+        """Return the longest time that any of these stages takes now."""
+        times_s = [self.stage_s(now, stage.pool, rank) for stage in stages]
+        return max(times_s, default=0.0)
 
     def stage_s(self, now: float, pool: str, rank: int) -> float:
-        """Return how long a stage takes where it would be made soonest."""
-        candidates = self._batcher.servers.places(pool)
-        place = self._places.best_data_centre(now, pool, candidates, rank=rank)
-        if place is None:
+        """Return how long a stage takes at the site predicted to finish it first."""
+        candidates = self._batcher.servers.endpoint_by_data_centre(pool)
+        data_centre = self._sites.best_data_centre(now, pool, candidates, rank=rank)
+        if data_centre is None:
             return 0.0
-        return self.wait_s(now, pool, place, rank) + self.call_s(pool)
+        return self.wait_s(now, pool, data_centre, rank) + self.call_s(pool)
 
     def wait_s(self, now: float, pool: str, data_centre: str, rank: int) -> float:
-        """Return by how much later than in a free place a piece would be made there."""
-        if not self._places.owner(now, pool, data_centre):
-            waits_s = self._batcher.wait_s(now, pool, data_centre, rank)
-            return waits_s + self._batcher.slowdown_s(now, pool, data_centre)
-        return self._places.wait_s(now, pool, data_centre, rank)
+        """Return how much later than at an idle site a piece is done there."""
+        if not self._sites.owner(now, pool, data_centre):
+            queue_s = self._batcher.wait_s(now, pool, data_centre, rank)
+            return queue_s + self._batcher.slowdown_s(now, pool, data_centre)
+        return self._sites.wait_s(now, pool, data_centre, rank)
 
     def after_s(self, graph: PieceGraph, stage: int) -> float:
-        """Return what is left to do from a stage on, its own call included."""
+        """Return how long a stage and all stages after it take on idle endpoints."""
         after_s = max(
             (self.after_s(graph, r) for r in graph.readers(stage)), default=0.0
         )
@@ -81,46 +81,48 @@
         return after_s + limits.call_of_s(limits.part_pieces(graph.count(stage)))
 
     def part_of(self, graph: PieceGraph, piece: Piece) -> int:
-        """Return which part of its stage a piece belongs to, from 0."""
+        """Return the index of the part of its stage that a piece belongs to."""
         limits = self._limits_of(graph.stages[piece.stage].pool)
         return limits.part_of(piece.number, graph.count(piece.stage))
 
     def share_s(self, pool: str) -> float:
-        """Return by how much one more piece lengthens the wait for a pool's call."""
+        """Return how much one more piece lengthens the wait at a pool's site."""
         return self._limits_of(pool).share_s
 
     def call_s(self, pool: str) -> float:
-        """Return how long a call with as many pieces as fit takes; 0 if not known."""
+        """Return how long a full call takes, 0 if the pool is not known."""
         return self._limits_of(pool).full_call_s()
 
     def _limits_of(self, pool: str) -> PieceLimits:
-        """Return what a pool's endpoints take; no time at all where it is not known."""
-        found = self._pools.get(pool)
-        if found is None or found.pieces is None:
+        """Return the limits of a pool's endpoints; times are 0 if it is not known."""
+        configured = self._pools.get(pool)
+        if configured is None or configured.pieces is None:
             return UNKNOWN_LIMITS
-        return found.pieces
+        return configured.pieces
 
-    # What runs, and where
+    # Choice of pieces and data centres
 
     def take_due(self, graph: PieceGraph) -> list[Piece]:
         """
-        Return the pieces to be made now; a short branch waits for a long one.
+        Return the pieces to be submitted now.
 
-        The failure: results of 1.5 MB that one stage makes stay at their maker until
-        three others have run, 1.3 s for 0.4. A maker holds ten, and calls with room for
-        one or two pieces took the place of full ones.
+        Of a graph with several branches, a single last stage is deferred while the
+        longest branch has more than one stage left. Otherwise its results, 1.5 MB each,
+        would be stored until the three stages of the other branch have run, for 1.3 s
+        in place of 0.4 s. An endpoint has memory for ten of them, so calls with room
+        for only one or two pieces took the place of full ones.
         """
-        lasts = graph.last_stages()
-        if len(lasts) == 1:
+        last_stages = graph.last_stages()
+        if len(last_stages) == 1:
             return graph.take_due()
-        ways = {index: graph.unfinished_before(index) for index in lasts}
-        longest = max(ways.values(), key=len)
-        held = {
+        paths = {index: graph.longest_unfinished_path(index) for index in last_stages}
+        longest = max(paths.values(), key=len)
+        deferred = {
             index
-            for index, way in ways.items()
-            if way is not longest and len(way) == 1 and len(longest) > 1
+            for index, path in paths.items()
+            if path is not longest and len(path) == 1 and len(longest) > 1
         }
-        return graph.take_due(held)
+        return graph.take_due(deferred)
 
     def choose_data_centre(
         self,
@@ -132,24 +134,30 @@
         rank: int,
     ) -> str | None:
         """
-        Return where a stage runs: where its pieces wait least, less what must cross.
+        Return the data centre in which to run a stage, ``None`` without endpoints.
 
-        Each stage is placed anew. A request that stayed where its first stage ran
-        waited 1.2 s for an endpoint there while another's queue stood at 0.3 s; what
-        the stages between hand on is a few hundred kilobytes. ``reader`` is where the
-        request itself will likely run, ``on_time_by`` when its results must be there.
+        The choice weighs the wait at each site against the bytes that cross between
+        data centres. Each stage is placed anew: when requests stayed where their first
+        stage ran, some waited 1.2 s for an endpoint while the queue of another data
+        centre was 0.3 s long. Between stages, only some hundred kilobytes are
+        transferred.
+
+        ``reader`` is the data centre in which the request itself is expected to run,
+        and ``on_time_by`` the time stamp by which its inputs must be ready.
         """
         pool = graph.stages[stage].pool
-        reading: dict[str, float] = {}
+        saved_bytes: dict[str, float] = {}
         for result in graph.inputs_of_stage(stage):
-            place = result.data_centre
-            reading[place] = reading.get(place, 0.0) + result.size_bytes
+            data_centre = result.data_centre
+            saved_bytes[data_centre] = (
+                saved_bytes.get(data_centre, 0.0) + result.size_bytes
+            )
         if reader and not graph.readers(stage):
             pieces = self._limits_of(pool).part_pieces(graph.count(stage))
-            made_bytes = pieces * graph.stages[stage].result_bytes
-            reading[reader] = reading.get(reader, 0.0) + made_bytes
-        candidates = self._batcher.servers.places(pool)
+            output_bytes = pieces * graph.stages[stage].result_bytes
+            saved_bytes[reader] = saved_bytes.get(reader, 0.0) + output_bytes
+        candidates = self._batcher.servers.endpoint_by_data_centre(pool)
         spare_s = on_time_by - self.after_s(graph, stage) - now
-        return self._places.best_data_centre(
-            now, pool, candidates, reading, spare_s, rank
+        return self._sites.best_data_centre(
+            now, pool, candidates, saved_bytes, spare_s, rank
         )
--- a/packages/policy/src/amaranthtally/policy/staged_requests.py
+++ b/packages/policy/src/amaranthtally/policy/staged_requests.py
@@ -1,19 +1,21 @@
-"""Requests whose pieces are being made, and what follows from an event."""
+"""Requests whose pieces are being computed, and the effects of an event on them."""
 
 from dataclasses import dataclass, field
 
 from amaranthtally.policy.actions import Action
 from amaranthtally.policy.piece_graph import PieceGraph
 
-__all__ = ["StagedRequest", "CoordinatorEffects"]
+__all__ = ["CoordinatorEffects", "StagedRequest"]
 
 
 @dataclass(slots=True)
 class StagedRequest:
     """
-    A request whose pieces are made; times are time stamps in seconds.
+    A request whose pieces are being computed; times are time stamps in seconds.
 
-    ``engine_s`` is what its engine takes to the first event, in seconds.
+    ``key`` is the input of the first stages. ``reader`` is the data centre in which the
+    request itself is expected to run. ``engine_s`` is how long its engine usually takes
+    until the first event, in seconds.
     """
 
     graph: PieceGraph
@@ -28,10 +30,11 @@
 @dataclass(slots=True)
 class CoordinatorEffects:
     """
-    What follows from an event.
+    What follows from an event at the coordinator.
 
-    Actions, and requests whose inputs are complete, could not be made, or come too
-    late.
+    ``actions`` are to be carried out. The lists hold the ids of requests: ``ready`` if
+    all inputs of the request are stored, ``failed`` if they could not be computed, and
+    ``late`` if they would be ready after the deadline.
     """
 
     actions: list[Action] = field(default_factory=list)
--- a/packages/policy/src/amaranthtally/policy/stream_watch.py
+++ b/packages/policy/src/amaranthtally/policy/stream_watch.py
@@ -78,7 +78,7 @@
         left_s = end - now
         if not stream.heard_at:
             silent_s = now - attempt.sent_at - attempt.wait_s
-            if stats.known and silent_s > STUCK_FACTOR * stats.p99_s:
+            if stats.has_enough_samples and silent_s > STUCK_FACTOR * stats.p99_s:
                 return 1.0
             return _tail_after(stats, done_s, left_s)
         quiet_s = now - stream.heard_at
--- a/packages/policy/src/amaranthtally/policy/submitted_pieces.py
+++ b/packages/policy/src/amaranthtally/policy/submitted_pieces.py
@@ -1,59 +1,73 @@
-"""The pieces that an entry has asked for and not heard of."""
+"""The pieces that an entry has submitted and that no report has come for yet."""
 
 from math import inf
 from typing import NamedTuple
 
 from amaranthtally.policy.piece_graph import Piece
 
-__all__ = ["AskedPiece", "AskedPieces"]
+__all__ = ["SubmittedPiece", "SubmittedPieces"]
 
 
-class AskedPiece(NamedTuple):
-    """Who makes a piece (empty: this entry), where, and until when to wait for word."""
+class SubmittedPiece(NamedTuple):
+    """
+    Where a piece was submitted, and the time stamp by which its report is expected.
+
+    ``owner`` is the entry it was submitted to, empty for this entry itself.
+    """
 
     owner: str
     pool: str
     data_centre: str
-    until: float
+    report_due: float
 
 
-class AskedPieces:
-    """Asked pieces by piece; times are time stamps in seconds."""
+class SubmittedPieces:
+    """Submitted pieces without a report, by piece; times are time stamps in seconds."""
 
     def __init__(self) -> None:
-        self._asked: dict[Piece, AskedPiece] = {}
-        # No piece is overdue before.
-        self._first_until = inf
+        self._submitted: dict[Piece, SubmittedPiece] = {}
+        # Lower bound of all ``report_due``: no piece is overdue before this time.
+        self._first_due = inf
 
     @property
     def owners(self) -> frozenset[str]:
-        """The other entries that have not told of all that they were asked for."""
-        return frozenset(asked.owner for asked in self._asked.values() if asked.owner)
+        """The other entries that still owe a report on at least one piece."""
+        return frozenset(
+            submitted.owner for submitted in self._submitted.values() if submitted.owner
+        )
 
-    def put(self, piece: Piece, asked: AskedPiece) -> None:
-        """Note that a piece is asked for."""
-        self._asked[piece] = asked
-        self._first_until = min(self._first_until, asked.until)
+    def add(self, piece: Piece, submitted: SubmittedPiece) -> None:
+        """Record that a piece was submitted."""
+        self._submitted[piece] = submitted
+        self._first_due = min(self._first_due, submitted.report_due)
 
-    def take(self, piece: Piece) -> AskedPiece | None:
-        """Return and forget what is known of a piece."""
-        return self._asked.pop(piece, None)
+    def remove(self, piece: Piece) -> SubmittedPiece | None:
+        """Remove a piece and return its record, or ``None`` if there is none."""
+        return self._submitted.pop(piece, None)
 
-    def of_owner(self, owner: str) -> list[Piece]:
-        """Return the pieces that an entry was asked for."""
-        return [piece for piece, asked in self._asked.items() if asked.owner == owner]
+    def submitted_to(self, owner: str) -> list[Piece]:
+        """Return the pieces that were submitted to an entry."""
+        return [
+            piece
+            for piece, submitted in self._submitted.items()
+            if submitted.owner == owner
+        ]
 
-    def overdue(self, now: float) -> dict[Piece, AskedPiece]:
-        """Return the pieces of which nothing was heard in their time."""
-        if now < self._first_until:
+    def overdue(self, now: float) -> dict[Piece, SubmittedPiece]:
+        """Return the pieces whose report was due by now."""
+        if now < self._first_due:
             return {}
-        left = (asked.until for asked in self._asked.values() if asked.until > now)
-        self._first_until = min(left, default=inf)
-        return {p: asked for p, asked in self._asked.items() if asked.until <= now}
+        later = (
+            submitted.report_due
+            for submitted in self._submitted.values()
+            if submitted.report_due > now
+        )
+        self._first_due = min(later, default=inf)
+        return {p: s for p, s in self._submitted.items() if s.report_due <= now}
 
-    def end(self, request_id: str) -> list[str]:
-        """Forget a request; return the other entries that were asked for its pieces."""
+    def remove_request(self, request_id: str) -> list[str]:
+        """Remove a request's pieces; return the other entries they were sent to."""
         owners: dict[str, None] = {}
-        for piece in [p for p in self._asked if p.request_id == request_id]:
-            owners[self._asked.pop(piece).owner] = None
+        for piece in [p for p in self._submitted if p.request_id == request_id]:
+            owners[self._submitted.pop(piece).owner] = None
         return [owner for owner in owners if owner]
--- a/packages/simulator/src/amaranthtally/simulator/call_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/call_mechanisms.py
@@ -46,7 +46,7 @@
     """Refuses late requests early whether or not something was made of them."""
 
     def _take_crowded_out(self, now: float, queue: SiteQueue) -> list[QueuedPiece]:
-        return queue.take(lambda waiting: now > waiting.ask.start_by)
+        return queue.take(lambda waiting: now > waiting.job.start_by)
 
 
 @without("early refusal of the late", of_batcher)
@@ -102,7 +102,7 @@
 class WithoutPause(PieceServer):
     """Goes on to call an endpoint that failed."""
 
-    def failed(self, now: float) -> None:
+    def note_failure(self, now: float) -> None:
         """Forget the failure."""
 
 
--- a/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
@@ -82,7 +82,7 @@
         super().update_wait(now, pool, data_centre, wait_s, slowdown_s)
 
     def note_submitted(
-        self, now: float, pool: str, data_centre: str, more_s: float, rank: int = 0
+        self, now: float, pool: str, data_centre: str, added_s: float, rank: int = 0
     ) -> None:
         """Count what was asked for in any rank."""
-        super().note_submitted(now, pool, data_centre, more_s)
+        super().note_submitted(now, pool, data_centre, added_s)
--- a/packages/simulator/src/amaranthtally/simulator/variants.py
+++ b/packages/simulator/src/amaranthtally/simulator/variants.py
@@ -99,7 +99,7 @@
 
 def of_places(build: Callable[[], PoolSites]) -> Variant:
     """Return the policy with other owners or waits of places."""
-    return _of_coordinator(lambda: PieceCoordinator(places=build()))
+    return _of_coordinator(lambda: PieceCoordinator(sites=build()))
 
 
 def of_plans(build: Callable[[PoolSites, Batcher], StagePlans]) -> Variant:
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -33,8 +33,8 @@
     return {piece.request_id for piece in call.pieces}
 
 
-def told_of(batches, asker=""):
-    return {one.piece.request_id: one for one in batches.told.get(asker, ())}
+def told_of(effects, submitter=""):
+    return {one.piece.request_id: one for one in effects.reports.get(submitter, ())}
 
 
 def send(batcher, now, *asks):
@@ -67,8 +67,8 @@
     """
     (first,) = send(batcher, NOW, ask("a"))
     assert send(batcher, NOW + 0.1, ask("b"), ask("c")) == []
-    batches = batcher.ended(NOW + 0.3, first.call, made(first))
-    (second,) = calls(batches.actions)
+    effects = batcher.call_ended(NOW + 0.3, first.call, made(first))
+    (second,) = calls(effects.actions)
     assert requests_of(second) == {"b", "c"}
 
 
@@ -99,7 +99,7 @@
     asks += [ask("large", n, siblings=10, **small) for n in range(10)]
     (first,) = send(batcher, NOW, *asks)
     assert [p.request_id for p in first.pieces] == ["small"] * 3 + ["large"] * 5
-    (second,) = calls(batcher.ended(NOW + 0.4, first.call, made(first)).actions)
+    (second,) = calls(batcher.call_ended(NOW + 0.4, first.call, made(first)).actions)
     assert [p.number for p in second.pieces] == [5, 6, 7, 8, 9]
 
 
@@ -110,14 +110,14 @@
     large = [ask("large", n, siblings=8, start_by=9.8) for n in range(8)]
     small = [ask(f"s{n}", start_by=10.0) for n in range(4)]
     send(batcher, NOW + 0.1, *large, *small)
-    (second,) = calls(batcher.ended(NOW + 0.4, first.call, made(first)).actions)
+    (second,) = calls(batcher.call_ended(NOW + 0.4, first.call, made(first)).actions)
     assert requests_of(second) == {"s0", "s1", "s2", "s3"}
 
 
 def test_a_call_tells_what_kept_it_from_being_full(batcher):
     (first,) = send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
     assert first.facts.shortage == "full"
-    (second,) = batcher.ended(NOW + 0.4, first.call, made(first)).actions or (None,)
+    (second,) = batcher.call_ended(NOW + 0.4, first.call, made(first)).actions or (None,)
     assert second is None
     (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
     assert second.facts.shortage == "memory"
@@ -142,14 +142,14 @@
     17.6 MB of their maker: what is kept and what runs leaves room for three.
     """
     (first,) = send(batcher, NOW, *[ask("a", n) for n in range(8)])
-    batcher.ended(NOW + 0.4, first.call, made(first))
+    batcher.call_ended(NOW + 0.4, first.call, made(first))
     (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
     assert len(second.pieces) == 3
 
 
 def test_a_result_that_was_read_makes_room(batcher):
     (first,) = send(batcher, NOW, *[ask("a", n) for n in range(8)])
-    told = batcher.ended(NOW + 0.4, first.call, made(first)).told[""]
+    told = batcher.call_ended(NOW + 0.4, first.call, made(first)).reports[""]
     results = [StoredResult(t.handle, t.endpoint, CLUJ, 1.5e6) for t in told]
     batcher.free(NOW + 0.4, results[:4])
     (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(7)])
@@ -166,7 +166,7 @@
             *[ask("urgent", n, start_by=9.0) for n in range(6)],
         ],
     )
-    (call,) = calls(batcher.ended(NOW + 0.3, 1, made(batcher_call(1))).actions)
+    (call,) = calls(batcher.call_ended(NOW + 0.3, 1, made(batcher_call(1))).actions)
     assert [p.request_id for p in call.pieces][:7] == ["urgent"] * 6 + ["slow"]
 
 
@@ -189,8 +189,8 @@
     """
     batcher.take(NOW, [ask("late", start_by=NOW - 0.1)])
     crowd = [ask(f"r{n}", result_bytes=8e3) for n in range(2 * CATALOGUE.batch)]
-    batches = batcher.take(NOW, crowd)
-    assert told_of(batches)["late"].fault is PieceFault.LATE
+    effects = batcher.take(NOW, crowd)
+    assert told_of(effects)["late"].fault is PieceFault.LATE
 
 
 def test_a_request_that_was_begun_is_not_crowded_out(batcher):
@@ -199,7 +199,7 @@
     send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
     begun = ask("begun", is_started=True, **late)
     on_time = [ask(f"r{n}") for n in range(9)]
-    told = batcher.take(NOW + 0.1, [begun, ask("new", **late), *on_time]).told
+    told = batcher.take(NOW + 0.1, [begun, ask("new", **late), *on_time]).reports
     assert {one.piece.request_id for one in told[""]} == {"new"}
 
 
@@ -210,31 +210,31 @@
 
 def test_a_refused_call_is_sent_again_and_nobody_is_told(batcher):
     (first,) = send(batcher, NOW, ask("a"))
-    batches = batcher.ended(NOW + 0.1, first.call, PiecesEnded(refused=True))
-    assert batches.told == {}
+    effects = batcher.call_ended(NOW + 0.1, first.call, PiecesEnded(refused=True))
+    assert effects.reports == {}
     (second,) = calls(batcher.tick(NOW + 0.5).actions)
     assert requests_of(second) == {"a"}
 
 
 def test_a_lost_call_is_told_so_that_it_is_made_elsewhere(batcher):
-    (first,) = send(batcher, NOW, ask("a", asker="peer"))
-    batches = batcher.ended(NOW + 0.1, first.call, PiecesEnded())
-    assert told_of(batches, "peer")["a"].fault is PieceFault.FAILED
+    (first,) = send(batcher, NOW, ask("a", submitter="peer"))
+    effects = batcher.call_ended(NOW + 0.1, first.call, PiecesEnded())
+    assert told_of(effects, "peer")["a"].fault is PieceFault.FAILED
 
 
 def test_pieces_at_a_place_without_endpoints_are_given_back(batcher):
-    batches = batcher.take(NOW, [ask("a", place=IASI)])
-    assert told_of(batches)["a"].fault is PieceFault.FAILED
+    effects = batcher.take(NOW, [ask("a", place=IASI)])
+    assert told_of(effects)["a"].fault is PieceFault.FAILED
 
 
 def test_a_piece_that_is_asked_for_twice_is_made_once(batcher):
     """
-    An endpoint does the same work twice. The asker heard nothing for long, since the
+    An endpoint does the same work twice. The submitter heard nothing for long, since the
     word was lost or the endpoint is slow, and asked again.
     """
     (first,) = send(batcher, NOW, ask("a"))
     batcher.take(NOW + 0.1, [ask("a"), ask("b"), ask("b")])
-    (second,) = calls(batcher.ended(NOW + 0.3, first.call, made(first)).actions)
+    (second,) = calls(batcher.call_ended(NOW + 0.3, first.call, made(first)).actions)
     assert [p.request_id for p in second.pieces] == ["b"]
 
 
@@ -246,7 +246,7 @@
 
 
 def test_a_leaving_entry_hands_back_what_waits(batcher):
-    batcher.take(NOW, [ask("a", asker="peer")])
+    batcher.take(NOW, [ask("a", submitter="peer")])
     assert told_of(batcher.hand_back(), "peer")["a"].fault is PieceFault.HANDED_BACK
     assert not batcher.is_busy
 
@@ -254,9 +254,9 @@
 def test_an_endpoint_that_leaves_gets_no_call(batcher):
     leaving = endpoint("catalogue-cluj-a", takes_calls=False)
     batcher.configure({leaving.id: leaving}, POOLS)
-    batches = batcher.take(NOW, [ask("a")])
-    assert batches.actions == []
-    assert told_of(batches)["a"].fault is PieceFault.FAILED
+    effects = batcher.take(NOW, [ask("a")])
+    assert effects.actions == []
+    assert told_of(effects)["a"].fault is PieceFault.FAILED
 
 
 # Inputs
@@ -282,7 +282,7 @@
     """Let a call at the ledger show that nobody else calls it; return the time."""
     warming = ask("w", pool="ledger", result_bytes=6e3)
     (call,) = send(batcher, NOW - 0.3, warming)
-    batcher.ended(NOW - 0.05, call.call, made(call))
+    batcher.call_ended(NOW - 0.05, call.call, made(call))
     return NOW
 
 
@@ -293,21 +293,21 @@
     call was to read was freed while it waited there for the other entry's call.
     """
     (first,) = send(batcher, NOW, reading("a"))
-    assert batcher.tick(LATER + 0.1).read == []
+    assert batcher.tick(LATER + 0.1).consumed == []
     # It took as long as two calls: another entry's was before it.
-    batches = batcher.ended(LATER + 0.5, first.call, made(first))
-    assert not any(one.inputs_freed for one in batches.told[""])
+    effects = batcher.call_ended(LATER + 0.5, first.call, made(first))
+    assert not any(one.inputs_freed for one in effects.reports[""])
     send(batcher, LATER + 0.5, reading("b"))
-    assert batcher.tick(LATER + 0.7).read == []
+    assert batcher.tick(LATER + 0.7).consumed == []
 
 
 def test_inputs_are_kept_where_the_endpoint_tells_of_another_call(batcher):
     now = alone(batcher)
     (first,) = send(batcher, now, reading("a"))
     end = replace(made(first), running=1, queued=0)
-    batcher.ended(now + 0.25, first.call, end)
+    batcher.call_ended(now + 0.25, first.call, end)
     send(batcher, now + 0.25, reading("b"))
-    assert batcher.tick(now + 0.4).read == []
+    assert batcher.tick(now + 0.4).consumed == []
 
 
 def test_inputs_are_freed_once_the_call_has_read_them(batcher):
@@ -317,16 +317,16 @@
     """
     alone(batcher)
     (call,) = send(batcher, NOW, reading("a", 0, 2), reading("a", 1, 2))
-    assert batcher.tick(LATER + 0.01).read == []
-    assert batcher.tick(LATER + 0.1).read == [INPUT]
-    told = batcher.ended(LATER + 0.3, call.call, made(call)).told[""]
+    assert batcher.tick(LATER + 0.01).consumed == []
+    assert batcher.tick(LATER + 0.1).consumed == [INPUT]
+    told = batcher.call_ended(LATER + 0.3, call.call, made(call)).reports[""]
     assert all(one.inputs_freed for one in told)
 
 
 def test_inputs_are_kept_where_a_sibling_is_still_to_read_them(batcher):
     alone(batcher)
     (_,) = send(batcher, NOW, reading("a", 0, siblings=2))
-    assert batcher.tick(LATER + 0.1).read == []
+    assert batcher.tick(LATER + 0.1).consumed == []
 
 
 def test_inputs_are_kept_where_the_call_had_no_room(batcher):
@@ -337,8 +337,8 @@
     alone(batcher)
     (call,) = send(batcher, NOW, reading("a"))
     full = PiecesEnded((PieceOutcome(fault=PieceFault.NO_ROOM),))
-    assert batcher.ended(LATER + 0.01, call.call, full).told == {}
-    assert batcher.tick(LATER + 0.1).read == []
+    assert batcher.call_ended(LATER + 0.01, call.call, full).reports == {}
+    assert batcher.tick(LATER + 0.1).consumed == []
     (again,) = calls(batcher.tick(LATER + 0.5).actions)
     assert again.pieces[0].inputs == ("in",)
 
@@ -346,10 +346,10 @@
 def test_a_piece_without_room_after_its_inputs_were_freed_is_told(batcher):
     alone(batcher)
     (call,) = send(batcher, NOW, reading("a", 0, 2), reading("a", 1, 2))
-    assert batcher.tick(LATER + 0.1).read == [INPUT]
+    assert batcher.tick(LATER + 0.1).consumed == [INPUT]
     outcomes = (PieceOutcome("h"), PieceOutcome(fault=PieceFault.NO_ROOM))
-    batches = batcher.ended(LATER + 0.3, call.call, PiecesEnded(outcomes))
-    assert [t.fault for t in batches.told[""]] == [None, PieceFault.INPUT_MISSING]
+    effects = batcher.call_ended(LATER + 0.3, call.call, PiecesEnded(outcomes))
+    assert [t.fault for t in effects.reports[""]] == [None, PieceFault.INPUT_MISSING]
 
 
 def test_an_endpoint_that_became_slow_is_predicted_to_stay_so(batcher):
@@ -362,7 +362,7 @@
     for name in ("a", "b", "c"):
         (call,) = send(batcher, now, ask(name))
         now += LINGER_S + 4.0 * usual_s
-        batcher.ended(now, call.call, made(call))
+        batcher.call_ended(now, call.call, made(call))
         batcher.free(
             now, [StoredResult(f"{call.endpoint}/{name}.0.0", call.endpoint, CLUJ, 0)]
         )
--- a/tests/policy/test_piece_graph.py
+++ b/tests/policy/test_piece_graph.py
@@ -13,17 +13,17 @@
     """Make every piece that is due, and return them."""
     due = graph.take_due()
     for piece in due:
-        graph.started(piece)
-        graph.finished(piece, stored(piece))
+        graph.mark_running(piece)
+        graph.mark_done(piece, stored(piece))
     return due
 
 
 def test_a_stage_waits_for_every_piece_that_it_reads():
     graph = PieceGraph("r", LOOKUP, (2, 3, 1))
     assert {p.stage for p in graph.take_due()} == {0}
-    graph.finished(Piece("r", 0, 0), stored(Piece("r", 0, 0)))
+    graph.mark_done(Piece("r", 0, 0), stored(Piece("r", 0, 0)))
     assert graph.take_due() == []
-    graph.finished(Piece("r", 0, 1), stored(Piece("r", 0, 1)))
+    graph.mark_done(Piece("r", 0, 1), stored(Piece("r", 0, 1)))
     second = graph.take_due()
     assert [p.stage for p in second] == [1, 1, 1]
     assert [r.handle for r in graph.inputs_of(second[0])] == ["h0.0", "h0.1"]
@@ -39,9 +39,9 @@
 def test_a_request_is_begun_once_a_piece_is_made():
     graph = PieceGraph("r", LOOKUP, (1, 6, 10))
     (piece,) = graph.take_due()
-    graph.started(piece)
+    graph.mark_running(piece)
     assert not graph.is_started
-    graph.finished(piece, StoredResult("h", "e", "d", 8e3))
+    graph.mark_done(piece, StoredResult("h", "e", "d", 8e3))
     assert graph.is_started
 
 
@@ -62,15 +62,15 @@
     graph = PieceGraph("r", LOOKUP, (1, 2, 1))
     make_due(graph)
     make_due(graph)
-    assert {r.handle for r in graph.take_unread()} == {"h0.0"}
+    assert {r.handle for r in graph.take_consumed()} == {"h0.0"}
     (last,) = graph.take_due()
-    graph.started(last)
-    lost = graph.lose_inputs_of(last)
+    graph.mark_running(last)
+    lost = graph.invalidate_inputs_of(last)
     assert {r.handle for r in lost} == {"h1.0", "h1.1"}
     assert [p.stage for p in make_due(graph)] == [0]
     assert [p.stage for p in make_due(graph)] == [1, 1]
     assert [p.stage for p in graph.take_due()] == [2]
-    assert graph.is_fed(last)
+    assert graph.has_inputs(last)
 
 
 def test_siblings_of_a_piece_that_lost_its_inputs_wait_for_them_too():
@@ -81,11 +81,11 @@
     graph = PieceGraph("r", LOOKUP, (1, 2, 1))
     make_due(graph)
     first, second = graph.take_due()
-    graph.started(first)
-    graph.started(second)
-    graph.forget_inputs_of(first)
-    graph.finished(first, stored(first))
-    graph.lose_inputs_of(second)
+    graph.mark_running(first)
+    graph.mark_running(second)
+    graph.discard_inputs_of(first)
+    graph.mark_done(first, stored(first))
+    graph.invalidate_inputs_of(second)
     assert [p.stage for p in make_due(graph)] == [0]
     assert graph.take_due() == [second]
-    assert graph.is_fed(second)
+    assert graph.has_inputs(second)
--- a/tests/policy/test_pool_sites.py
+++ b/tests/policy/test_pool_sites.py
@@ -157,13 +157,13 @@
 
 def test_a_place_that_failed_is_left_alone_and_tried_again():
     found = places_of(PEERS[0])
-    found.failed(NOW, "roster", CLUJ)
+    found.note_failure(NOW, "roster", CLUJ)
     assert found.best_data_centre(NOW + 0.1, "roster", CANDIDATES) == IASI
     assert found.best_data_centre(NOW + 5.0, "roster", CANDIDATES) == CLUJ
 
 
 def test_the_only_place_is_used_though_it_failed():
     found = places_of(PEERS[0])
-    found.failed(NOW, "roster", CLUJ)
+    found.note_failure(NOW, "roster", CLUJ)
     assert found.best_data_centre(NOW, "roster", {CLUJ: CANDIDATES[CLUJ]}) == CLUJ
     assert found.best_data_centre(NOW, "roster", {}) is None
--- a/tests/policy/test_site_queue.py
+++ b/tests/policy/test_site_queue.py
@@ -17,13 +17,13 @@
         self.looks = 0
 
     @property
-    def ask(self):
+    def job(self):
         self.looks += 1
-        return self._waiting.ask
+        return self._waiting.job
 
     @property
-    def since(self):
-        return self._waiting.since
+    def queued_at(self):
+        return self._waiting.queued_at
 
 
 @st.composite
@@ -57,21 +57,21 @@
             on_time = [
                 one
                 for one in left
-                if now <= one.ask.start_by
-                and (rank is None or one.ask.priority <= rank)
+                if now <= one.job.start_by
+                and (rank is None or one.job.priority <= rank)
             ]
             assert queue.on_time(now, rank) == len(on_time)
         late = queue.take_late(now)
-        assert late == [one for one in left if one.ask.deadline <= now]
+        assert late == [one for one in left if one.job.deadline <= now]
         left = left_of(left, late)
-        crowded = queue.take_late_unbegun(now)
+        crowded = queue.take_late_unstarted(now)
         assert crowded == [
-            one for one in left if now > one.ask.start_by and not one.ask.is_started
+            one for one in left if now > one.job.start_by and not one.job.is_started
         ]
         left = left_of(left, crowded)
     name = f"r-{number}"
     found = queue.take_request(name)
-    assert found == [one for one in left if one.ask.piece.request_id == name]
+    assert found == [one for one in left if one.job.piece.request_id == name]
     assert queue.waiting == left_of(left, found)
     assert len(queue) == len(queue.waiting)
 
@@ -87,6 +87,6 @@
     before = sum(one.looks for one in pieces)
     for _ in range(10):
         assert queue.on_time(1.0, 1) == len(pieces)
-        assert queue.take_late(1.0) == queue.take_late_unbegun(1.0) == []
+        assert queue.take_late(1.0) == queue.take_late_unstarted(1.0) == []
         assert queue.take_request("another") == []
     assert sum(one.looks for one in pieces) == before
