--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -117,7 +117,9 @@
 def test_a_call_tells_what_kept_it_from_being_full(batcher):
     (first,) = send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
     assert first.facts.shortage == "full"
-    (second,) = batcher.call_ended(NOW + 0.4, first.call, made(first)).actions or (None,)
+    (second,) = batcher.call_ended(NOW + 0.4, first.call, made(first)).actions or (
+        None,
+    )
     assert second is None
     (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
     assert second.facts.shortage == "memory"
@@ -229,8 +231,8 @@
 
 def test_a_piece_that_is_asked_for_twice_is_made_once(batcher):
     """
-    An endpoint does the same work twice. The submitter heard nothing for long, since the
-    word was lost or the endpoint is slow, and asked again.
+    An endpoint computes the same piece twice. Its submitter got no report for long, as
+    the report was lost or the endpoint is slow, and submitted the job again.
     """
     (first,) = send(batcher, NOW, ask("a"))
     batcher.take(NOW + 0.1, [ask("a"), ask("b"), ask("b")])
