--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -23,7 +23,7 @@
 from amaranthtally.daemon.entry.bound import fingerprint_of
 from amaranthtally.policy.once import CallLedger
 from amaranthtally.standins.deployment import Deployment, load_plan, open_deployment
-from amaranthtally.wire import OnceTerms
+from amaranthtally.wire import AtMostOnceTerms
 
 PLAN = Path(__file__).parent.parent / "examples" / "agrosalv.toml"
 EFFECT = "dispatch-order"
@@ -173,7 +173,7 @@
     tracemalloc.start()
     start = time.perf_counter()
     for key, fingerprint in zip(keys, fingerprints, strict=True):
-        terms = OnceTerms(incarnation=1, issued_s=0.0, fingerprint=fingerprint)
+        terms = AtMostOnceTerms(incarnation=1, issued_s=0.0, fingerprint=fingerprint)
         ledger.open(0.0, key, terms)
     spent = time.perf_counter() - start
     grown, _ = tracemalloc.get_traced_memory()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,9 +20,9 @@
     open_deployment,
 )
 from amaranthtally.wire import (
-    Greeting,
+    HelloReply,
     Load,
-    SettingsGap,
+    SettingsDelta,
     connect_sidecar,
     serve_sidecar,
 )
@@ -146,13 +146,13 @@
 
 class IdleHandler:
     async def hello(self, entry, revision, fetch):
-        return Greeting("encoder-1", Load())
+        return HelloReply("encoder-1", Load())
 
     def load(self):
         return Load()
 
     def changes_since(self, revision):
-        return SettingsGap(0, ())
+        return SettingsDelta(0, ())
 
 
 def measure_connections() -> None:
--- a/bench/light_fleet.py
+++ b/bench/light_fleet.py
@@ -37,7 +37,7 @@
     def changes_since(self, revision):
         return self._sync.changes_since(revision)
 
-    def announced(self, revision, fetch):
+    def announce_revision(self, revision, fetch):
         self._sync.heard(revision, fetch)
         return self._sync.revision
 
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -20,7 +20,7 @@
     load_plan,
     open_deployment,
 )
-from amaranthtally.wire import CacheNews, CallId, StageReply, Status
+from amaranthtally.wire import CacheUpdate, CallId, StageReply, Status
 from amaranthtally.wire.codec import schema, write_reply
 from bench.path import PLAN
 from bench.process_cost import cpu_seconds
@@ -164,7 +164,7 @@
 def reply_bytes(told: int) -> int:
     """Return the size of a reply that tells so many blocks, before framing."""
     message = schema.StageReply.new_message()
-    news = CacheNews(told, tuple(range(1 << 60, (1 << 60) + told)))
+    news = CacheUpdate(told, tuple(range(1 << 60, (1 << 60) + told)))
     call_id = CallId("0123456789abcdef", 3, 1)
     write_reply(message, StageReply(call_id, Status.FINISHED, b"{}", cache=news))
     return len(message.to_bytes())
--- a/packages/daemon/src/amaranthtally/daemon/entry/attempts.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/attempts.py
@@ -25,7 +25,7 @@
     Send,
     StageResult,
 )
-from amaranthtally.wire import Inquiry, PeerLostError, StageReply, WireError
+from amaranthtally.wire import OutcomeQuery, PeerLostError, StageReply, WireError
 
 __all__ = ["AttemptListener", "Attempts"]
 
@@ -137,7 +137,7 @@
         stage = request.arrival.pipeline.stages[attempt.stage]
         assert request.bound is not None
         binding = request.bound.binding(attempt.stage, stage)
-        reply = await self._inquirer.inquire(request.bound, binding, Inquiry.WAIT)
+        reply = await self._inquirer.inquire(request.bound, binding, OutcomeQuery.WAIT)
         if reply is None or endpoint is None:
             self._listener.attempt_ended(attempt, StageResult(Fate.UNKNOWN))
             return
@@ -151,7 +151,7 @@
         reply: StageReply,
     ) -> None:
         awaited = int(attempt in request.tasks)
-        self._peers.note_load(endpoint.id, replace(reply.load, ended=awaited))
+        self._peers.note_load(endpoint.id, replace(reply.load, ended_calls=awaited))
         self._take_cache_news(endpoint, reply)
         if attempt not in request.tasks:
             return
--- a/packages/daemon/src/amaranthtally/daemon/entry/binder.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/binder.py
@@ -19,7 +19,7 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.policy import Outcome, Pipeline, Stage
 from amaranthtally.policy.once import Binding, rank_for_binding
-from amaranthtally.wire import Inquiry, PeerLostError, StageReply, Status
+from amaranthtally.wire import OutcomeQuery, PeerLostError, StageReply, Status
 
 __all__ = ["Binder", "EffectRequest"]
 
@@ -160,7 +160,7 @@
 
     async def _look(self, bound: BoundRequest) -> BoundRequest | Problem:
         """Learn the permits of a request that may be a repeat."""
-        replies = await self._inquirer.inquire_all(bound, Inquiry.LOOK)
+        replies = await self._inquirer.inquire_all(bound, OutcomeQuery.POLL)
         statuses = {_status(reply) for reply in replies}
         if Status.CONFLICT in statuses:
             return KEY_CONFLICT
--- a/packages/daemon/src/amaranthtally/daemon/entry/bound.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/bound.py
@@ -7,7 +7,7 @@
 
 from amaranthtally.policy import Pipeline, Stage
 from amaranthtally.policy.once import Binding
-from amaranthtally.wire import OnceTerms
+from amaranthtally.wire import AtMostOnceTerms
 
 __all__ = ["BoundRequest", "effect_stages", "fingerprint_of", "stage_label"]
 
@@ -37,9 +37,9 @@
         """Return the name of a stage's effect."""
         return f"{self.key}#{binding.stage}"
 
-    def terms(self, binding: Binding, expires_s: float = 0.0) -> OnceTerms:
+    def terms(self, binding: Binding, expires_s: float = 0.0) -> AtMostOnceTerms:
         """Return the terms under which a stage may start, by the bound clock."""
-        return OnceTerms(
+        return AtMostOnceTerms(
             incarnation=binding.incarnation,
             issued_s=binding.issued_s,
             permit=self.permits.get(binding.stage, 0),
--- a/packages/daemon/src/amaranthtally/daemon/entry/cache_news.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/cache_news.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from amaranthtally.policy import CacheEvent
-from amaranthtally.wire import CacheNews
+from amaranthtally.wire import CacheUpdate
 
 __all__ = ["CacheFollower"]
 
@@ -33,7 +33,7 @@
         return heard.serial if heard else 0
 
     def take(
-        self, endpoint: str, incarnation: int, news: CacheNews
+        self, endpoint: str, incarnation: int, news: CacheUpdate
     ) -> CacheEvent | None:
         """
         Return the event that news means to the policy, or ``None``.
--- a/packages/daemon/src/amaranthtally/daemon/entry/first_settings.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/first_settings.py
@@ -6,7 +6,7 @@
 from amaranthtally.daemon.lifecycle import split_address
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.settings_state import SettingsState
-from amaranthtally.wire import SettingsGap, WireError, connect_sidecar
+from amaranthtally.wire import SettingsDelta, WireError, connect_sidecar
 
 __all__ = ["load_from_peers"]
 
@@ -29,7 +29,7 @@
     await follower.tried.wait()
     while not state.loaded.is_set():
         gaps = await asyncio.gather(*(_ask(peer, timeout) for peer in peers))
-        newest = max(gaps, key=lambda gap: gap.revision, default=SettingsGap(0))
+        newest = max(gaps, key=lambda gap: gap.revision, default=SettingsDelta(0))
         if newest.revision > 0:
             state.take_gap(newest, "peer")
             state.loaded.set()
@@ -38,16 +38,16 @@
         await asyncio.sleep(PAUSE_S)
 
 
-async def _ask(peer: str, timeout: float) -> SettingsGap:
+async def _ask(peer: str, timeout: float) -> SettingsDelta:
     host, port = split_address(peer)
     try:
         client = await connect_sidecar(host, port, timeout)
     except WireError:
-        return SettingsGap(0)
+        return SettingsDelta(0)
     try:
         async with asyncio.timeout(timeout):
             return await client.changes_since(0)
     except (WireError, TimeoutError):
-        return SettingsGap(0)
+        return SettingsDelta(0)
     finally:
         client.close()
--- a/packages/daemon/src/amaranthtally/daemon/entry/inquiries.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/inquiries.py
@@ -10,7 +10,7 @@
 from amaranthtally.policy import Endpoint, LoadReport, Outcome
 from amaranthtally.policy.handover import rank_successors
 from amaranthtally.policy.once import Binding
-from amaranthtally.wire import Inquiry, Load, PeerLostError, StageReply, Status
+from amaranthtally.wire import Load, OutcomeQuery, PeerLostError, StageReply, Status
 
 __all__ = ["Inquirer", "load_report"]
 
@@ -74,7 +74,7 @@
         return clock + passed + remaining_s + LATE_MARGIN_S
 
     async def inquire_all(
-        self, bound: BoundRequest, inquiry: Inquiry
+        self, bound: BoundRequest, inquiry: OutcomeQuery
     ) -> list[StageReply | None]:
         """Ask after every effect of a request; ``None`` where no answer came."""
         return await asyncio.gather(
@@ -85,7 +85,7 @@
         )
 
     async def inquire(
-        self, bound: BoundRequest, binding: Binding, inquiry: Inquiry
+        self, bound: BoundRequest, binding: Binding, inquiry: OutcomeQuery
     ) -> StageReply | None:
         """
         Ask after one effect; ``None`` where the sidecar can't be reached.
@@ -101,7 +101,7 @@
         return reply
 
     async def _ask_successors(
-        self, bound: BoundRequest, binding: Binding, inquiry: Inquiry
+        self, bound: BoundRequest, binding: Binding, inquiry: OutcomeQuery
     ) -> StageReply | None:
         ranked = rank_successors(
             binding.incarnation, binding.endpoint, self._endpoints.values()
@@ -117,14 +117,14 @@
         return None
 
     async def _ask(
-        self, bound: BoundRequest, binding: Binding, inquiry: Inquiry, name: str
+        self, bound: BoundRequest, binding: Binding, inquiry: OutcomeQuery, name: str
     ) -> StageReply | None:
         endpoint = self._endpoints.get(name)
         if endpoint is None:
             return None
         try:
             client = await self._peers.client(endpoint)
-            reply = await client.inquire(
+            reply = await client.query_outcome(
                 bound.call_key(binding), bound.terms(binding), inquiry
             )
         except PeerLostError:
@@ -138,7 +138,7 @@
 
         ``None`` where the key stands for another input.
         """
-        replies = await self.inquire_all(bound, Inquiry.WITHDRAW)
+        replies = await self.inquire_all(bound, OutcomeQuery.WITHDRAW)
         statuses = [reply.status if reply else Status.UNKNOWN for reply in replies]
         if Status.CONFLICT in statuses:
             return None
@@ -171,5 +171,5 @@
         backlog_s=load.backlog_s,
         leaving=load.leaving,
         models=None if load.models is None else load.models.served,
-        ended=load.ended,
+        ended=load.ended_calls,
     )
--- a/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
@@ -6,7 +6,7 @@
 
 from amaranthtally.daemon.entry.live_request import LiveRequest, StageRecord
 from amaranthtally.policy import AttemptId, Endpoint, Fate, Send, Stage, StageResult
-from amaranthtally.wire import CallId, OnceTerms, StageCall, StageReply, Status
+from amaranthtally.wire import AtMostOnceTerms, CallId, StageCall, StageReply, Status
 
 __all__ = ["EndedStage", "build_call", "read_reply", "stage_record"]
 
@@ -52,7 +52,7 @@
     """
     attempt = send.attempt
     stage = request.arrival.pipeline.stages[attempt.stage]
-    call_key, terms = "", OnceTerms()
+    call_key, terms = "", AtMostOnceTerms()
     if not stage.repeatable:
         assert request.bound is not None
         binding = request.bound.binding(attempt.stage, stage)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/belief_copy.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/belief_copy.py
@@ -119,7 +119,7 @@
 
     async def _read(self, peer: str, document: Document) -> None:
         reader = self._readers[document]
-        while not reader.is_whole:
+        while not reader.is_complete:
             part = await self._links.read(peer, reader.next_request())
             if not part.data:
                 raise MalformedDocumentError("a part of it is empty")
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -17,7 +17,7 @@
     pack_records,
     unpack_records,
 )
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 
 __all__ = ["PeerHandler"]
 
@@ -49,20 +49,22 @@
         """How new this gateway's configuration and records are."""
         return Versions(self._configuration.version, self._records.at)
 
-    def greeted(self, name: str, record: PeerRecord, versions: Versions) -> Greeting:
+    def exchange_status(
+        self, name: str, record: PeerRecord, versions: Versions
+    ) -> GatewayStatus:
         """Return this gateway's versions to a peer; fetch what it has newer."""
         self._on_greeting(name, record)
         self.heard_of(name, versions)
         if versions.configuration > self._configuration.version:
             self._on_newer(name, versions)
-        return Greeting(self.versions, self._is_leaving())
+        return GatewayStatus(self.versions, self._is_leaving())
 
-    def part(self, request: PartRequest) -> DocumentPart:
+    def read_part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
         snapshots = self._snapshots[request.document]
         if not request.offset:
             self._refresh(request.document, snapshots)
-        return snapshots.part(request)
+        return snapshots.read_part(request)
 
     def heard_of(self, peer: str, versions: Versions) -> None:
         """Note what a peer has."""
@@ -85,15 +87,15 @@
         else:
             self._take_records(version, records)
 
-    def asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def submit_jobs(self, asker: str, asks: Sequence[PieceAsk]) -> None:
         """Take pieces that a peer wants made."""
         self._executor.pieces_asked(asker, asks)
 
-    def told(self, told: Sequence[PieceTold]) -> None:
+    def report_outcomes(self, told: Sequence[PieceTold]) -> None:
         """Hear what became of pieces."""
         self._executor.pieces_told(told)
 
-    def freed(self, results: Sequence[StoredResult], ended: str) -> None:
+    def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
         """Hear that results are read no more, and of a request that has ended."""
         self._executor.results_freed(results, ended)
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_links.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_links.py
@@ -9,7 +9,7 @@
 from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
 from amaranthtally.wire import PeerLostError
 from amaranthtally.wire.documents import DocumentPart, PartRequest
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 from amaranthtally.wire.gateway_peer import GatewayClient, connect_gateway
 
 __all__ = ["UNREACHABLE", "PeerLinks"]
@@ -89,15 +89,15 @@
         """Tell a peer that results are read no more, or a request has ended."""
         self._spawn(self._free(peer, results, ended))
 
-    async def greet(self, peer: str, versions: Versions) -> Greeting:
+    async def greet(self, peer: str, versions: Versions) -> GatewayStatus:
         """Exchange versions with a peer; raises ``PeerLostError``."""
         return await self._call(
-            peer, lambda c: c.greet(self._name, self._record, versions)
+            peer, lambda c: c.exchange_status(self._name, self._record, versions)
         )
 
     async def read(self, peer: str, request: PartRequest) -> DocumentPart:
         """Read a part of what a peer believes; raises ``PeerLostError``."""
-        return await self._call(peer, lambda client: client.read(request))
+        return await self._call(peer, lambda client: client.read_part(request))
 
     def close(self) -> None:
         """Close every connection."""
@@ -107,7 +107,9 @@
     async def _ask(self, peer: str, asks: Sequence[PieceAsk]) -> None:
         try:
             now = self._loop.time()
-            await self._call(peer, lambda client: client.ask(self._name, asks, now))
+            await self._call(
+                peer, lambda client: client.submit_jobs(self._name, asks, now)
+            )
         except PeerLostError as error:
             log.info("peer_lost", peer=peer, pieces=len(asks), cause=str(error))
             self._listener.peer_failed(peer)
@@ -133,7 +135,7 @@
     async def _tell(self, peer: str, told: Sequence[PieceTold]) -> None:
         for _ in range(TELL_TRIES):
             try:
-                await self._call(peer, lambda client: client.tell(told))
+                await self._call(peer, lambda client: client.report_outcomes(told))
                 return
             except PeerLostError as error:
                 log.info("peer_not_told", peer=peer, pieces=len(told), cause=str(error))
@@ -143,7 +145,9 @@
         self, peer: str, results: Sequence[StoredResult], ended: str
     ) -> None:
         try:
-            await self._call(peer, lambda client: client.free(results, ended))
+            await self._call(
+                peer, lambda client: client.release_results(results, ended)
+            )
         except PeerLostError as error:
             log.info("peer_not_told", peer=peer, results=len(results), cause=str(error))
             # Kept to their time limit they would fill their makers, and whoever calls
--- a/packages/daemon/src/amaranthtally/daemon/settings_state.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_state.py
@@ -8,7 +8,7 @@
 
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.settings import Change, ChangeLog, Gap, Tree
-from amaranthtally.wire import SettingsGap
+from amaranthtally.wire import SettingsDelta
 
 __all__ = ["SettingsState"]
 
@@ -66,7 +66,7 @@
         if self._log.take_tree(tree):
             self._moved(source)
 
-    def take_gap(self, gap: SettingsGap, source: str) -> None:
+    def take_gap(self, gap: SettingsDelta, source: str) -> None:
         """Put in force what a peer sent."""
         try:
             moved = self._log.take_gap(Gap(gap.revision, gap.changes, gap.snapshot))
@@ -76,10 +76,10 @@
         if moved:
             self._moved(source)
 
-    def changes_since(self, revision: int) -> SettingsGap:
+    def changes_since(self, revision: int) -> SettingsDelta:
         """Return what a peer at ``revision`` lacks."""
         gap = self._log.gap_after(revision)
-        return SettingsGap(gap.revision, gap.changes, gap.snapshot)
+        return SettingsDelta(gap.revision, gap.changes, gap.snapshot)
 
     def _moved(self, source: str) -> None:
         revision_gauge.set({}, self.revision)
--- a/packages/daemon/src/amaranthtally/daemon/settings_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_sync.py
@@ -17,8 +17,8 @@
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.settings import Tree
 from amaranthtally.wire import (
+    SettingsDelta,
     SettingsFetcher,
-    SettingsGap,
     SidecarClient,
     WireError,
     connect_sidecar,
@@ -85,7 +85,7 @@
         """Revision of the settings in force here."""
         return self._state.revision
 
-    def changes_since(self, revision: int) -> SettingsGap:
+    def changes_since(self, revision: int) -> SettingsDelta:
         """Return what a peer at ``revision`` lacks."""
         return self._state.changes_since(revision)
 
@@ -183,7 +183,7 @@
         try:
             async with asyncio.timeout(PEER_TIMEOUT_S):
                 client = await self._client(address)
-                known = await client.announce(revision, self._state)
+                known = await client.announce_revision(revision, self._state)
         except (WireError, TimeoutError):
             self._drop(address)
             return
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/adapters.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/adapters.py
@@ -123,7 +123,7 @@
     given = _read_input(target.call)
     text = input_text(given.input)
     if target.cache is not None:
-        target.cache.note_prompt(target.call.account, text)
+        target.cache.record_prompt(target.call.account, text)
     body = {
         "model": target.call.model,
         "prompt": build_prompt(text, _documents(given.previous)),
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -10,17 +10,17 @@
 from amaranthtally.policy.handover import HandedCall, HandedLedgers, Handover
 from amaranthtally.policy.once import CallLedger, CallState, Verdict
 from amaranthtally.wire import (
+    AtMostOnceTerms,
     CallId,
     ChunkHandler,
-    Inquiry,
     Load,
-    OnceTerms,
+    OutcomeQuery,
     StageCall,
     StageReply,
     Status,
 )
 
-__all__ = ["CallRunner", "OnceCalls"]
+__all__ = ["CallRunner", "AtMostOnceCalls"]
 
 KEPT_OUTPUT_BYTES = 8 * 1024 * 1024
 NO_ID = CallId("", 0, 0)
@@ -63,7 +63,7 @@
     )
 
 
-class OnceCalls:
+class AtMostOnceCalls:
     """One incarnation's calls that may not be repeated, with their results."""
 
     def __init__(
@@ -115,14 +115,16 @@
         """
         return sum(waiters.gone_s > wait_s for waiters in self._running.values())
 
-    async def inquire(self, key: str, terms: OnceTerms, inquiry: Inquiry) -> StageReply:
+    async def query_outcome(
+        self, key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+    ) -> StageReply:
         """Say what became of a call; one that never came is sealed, but by a look."""
         verdict = self._ledger.judge(self._runner.clock_s, key, terms)
         if verdict is Verdict.KNOWN:
             return await self._inquire_known(key, terms, inquiry)
         if verdict is Verdict.FOREIGN:
             return self._handed_reply(NO_ID, key, terms)
-        if verdict is Verdict.FRESH and inquiry is not Inquiry.LOOK:
+        if verdict is Verdict.FRESH and inquiry is not OutcomeQuery.POLL:
             return self._seal(key, terms)
         return self._refuse(NO_ID, key, verdict)
 
@@ -159,7 +161,9 @@
             key, fingerprint, reply.status.value, reply.output, reply.reason
         )
 
-    def _handed_reply(self, call_id: CallId, key: str, terms: OnceTerms) -> StageReply:
+    def _handed_reply(
+        self, call_id: CallId, key: str, terms: AtMostOnceTerms
+    ) -> StageReply:
         verdict = self._handed.judge(self._runner.clock_s, key, terms)
         if verdict is not Verdict.KNOWN:
             return self._refuse(call_id, key, verdict)
@@ -197,19 +201,19 @@
         return replace(reply, id=call_id, load=self._runner.load())
 
     async def _inquire_known(
-        self, key: str, terms: OnceTerms, inquiry: Inquiry
+        self, key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
         state = self._ledger.state(key)
-        if state is CallState.ENDED or inquiry is Inquiry.WAIT:
+        if state is CallState.ENDED or inquiry is OutcomeQuery.WAIT:
             return await self._ended(NO_ID, key)
-        withdraw = inquiry is Inquiry.WITHDRAW and state is CallState.QUEUED
+        withdraw = inquiry is OutcomeQuery.WITHDRAW and state is CallState.QUEUED
         record = self._records[key]
         if withdraw and self._runner.cancel_waiting(record.call_id):
             await asyncio.shield(record.reply)
             return self._seal(key, terms)
         return self._runner.reply(NO_ID, Status.UNKNOWN, reason="has not ended")
 
-    def _seal(self, key: str, terms: OnceTerms) -> StageReply:
+    def _seal(self, key: str, terms: AtMostOnceTerms) -> StageReply:
         verdict = self._ledger.withdraw(self._runner.clock_s, key, terms)
         if verdict is Verdict.FULL:
             reason = "too many withdrawals on record"
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/departure.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
@@ -9,7 +9,7 @@
 from amaranthtally.settings.catalogue import DRAIN_PREFIX
 from amaranthtally.wire import EntryConnections
 
-__all__ = ["Departure"]
+__all__ = ["DrainController"]
 
 POLL_S = 0.02
 LINGER_S = 2.0
@@ -17,7 +17,7 @@
 log = get_logger()
 
 
-class Departure:
+class DrainController:
     """Tells entries that the sidecar takes no new work, and waits for the rest."""
 
     def __init__(
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_part.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
@@ -9,25 +9,25 @@
 from amaranthtally.daemon.lifecycle import run_beside, split_address
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.daemon.settings_sync import SettingsSync
-from amaranthtally.daemon.sidecar.departure import Departure
+from amaranthtally.daemon.sidecar.drain import DrainController
 from amaranthtally.daemon.sidecar.engine_cache import EngineCache
 from amaranthtally.daemon.sidecar.handler import StageHandler
 from amaranthtally.daemon.sidecar.handover import endpoints_of, hand_over
 from amaranthtally.daemon.sidecar.metrics import EndpointMetrics, SidecarMetrics
-from amaranthtally.daemon.sidecar.orders import ModelOrders
+from amaranthtally.daemon.sidecar.model_reconciler import ModelReconciler
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.daemon.signatures import KeyRing
 from amaranthtally.platform import CALLER_HEADER
 from amaranthtally.settings import SidecarSettings
 from amaranthtally.wire import EntryConnections, serve_sidecar
 
-__all__ = ["EndpointPart", "SharedParts", "open_endpoint"]
+__all__ = ["EndpointService", "SharedResources", "open_endpoint"]
 
 ENGINE_KIND = "engine"
 
 
 @dataclass(frozen=True, slots=True)
-class SharedParts:
+class SharedResources:
     """What the endpoints of one process share."""
 
     session: aiohttp.ClientSession
@@ -36,11 +36,11 @@
     metrics: SidecarMetrics
 
 
-class EndpointPart:
+class EndpointService:
     """One endpoint: its run queue, its records, its engine, its way out."""
 
     def __init__(
-        self, settings: SidecarSettings, shared: SharedParts, alone: bool
+        self, settings: SidecarSettings, shared: SharedResources, alone: bool
     ) -> None:
         self.settings = settings
         self.connections = EntryConnections()
@@ -61,7 +61,7 @@
             self.models,
             self.cache,
         )
-        self.departure = Departure(
+        self.departure = DrainController(
             settings, self.handler, self.connections, self.give_records
         )
         self.port = 0
@@ -85,13 +85,16 @@
 
 
 async def open_endpoint(
-    stack: AsyncExitStack, settings: SidecarSettings, shared: SharedParts, alone: bool
-) -> EndpointPart:
+    stack: AsyncExitStack,
+    settings: SidecarSettings,
+    shared: SharedResources,
+    alone: bool,
+) -> EndpointService:
     """Serve one endpoint until the stack closes; ``alone`` in its process or not."""
-    part = EndpointPart(settings, shared, alone)
+    part = EndpointService(settings, shared, alone)
     shared.state.listen(part.departure.settings_changed)
     if part.cache is not None:
-        run_beside(stack, part.cache.follow())
+        run_beside(stack, part.cache.follow_events())
         if settings.platform_url:
             await _follow_orders(stack, part, shared.state)
     host, port = split_address(settings.wire_address)
@@ -102,10 +105,10 @@
 
 
 async def _follow_orders(
-    stack: AsyncExitStack, part: EndpointPart, state: SettingsState
+    stack: AsyncExitStack, part: EndpointService, state: SettingsState
 ) -> None:
     headers = {CALLER_HEADER: part.settings.endpoint}
     session = await stack.enter_async_context(aiohttp.ClientSession(headers=headers))
-    orders = ModelOrders(part.settings, session, part.models, part.announce)
+    orders = ModelReconciler(part.settings, session, part.models, part.announce)
     state.listen(orders.settings_changed)
     run_beside(stack, orders.run())
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/engine_cache.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/engine_cache.py
@@ -8,8 +8,11 @@
 
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.prompts import cache_salt, prefix_blocks
-from amaranthtally.daemon.sidecar.prefix_digest import EngineEvent, PrefixDigest
-from amaranthtally.wire import CacheNews
+from amaranthtally.daemon.sidecar.prefix_cache_index import (
+    EngineEvent,
+    PrefixCacheIndex,
+)
+from amaranthtally.wire import CacheUpdate
 
 __all__ = ["EngineCache"]
 
@@ -41,7 +44,7 @@
     def __init__(self, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
         self._url = url
-        self._digest = PrefixDigest()
+        self._digest = PrefixCacheIndex()
 
     def __len__(self) -> int:
         return len(self._digest)
@@ -51,17 +54,17 @@
         """The engine's start that is known; empty before its first events."""
         return self._digest.epoch
 
-    def note_prompt(self, account: str, text: str) -> None:
+    def record_prompt(self, account: str, text: str) -> None:
         """Note an input that is sent to the engine for an account."""
         salt = cache_salt(account)
         blocks = prefix_blocks(salt, text, MOST_BLOCKS)
-        self._digest.note_prompt(_engine_names(salt, text, len(blocks)), blocks)
+        self._digest.record_prompt(_engine_names(salt, text, len(blocks)), blocks)
 
-    def news(self, after: int) -> CacheNews:
+    def update_since(self, after: int) -> CacheUpdate:
         """Return what an entry lacks that was told everything up to a serial."""
-        return self._digest.news(after)
+        return self._digest.update_since(after)
 
-    async def follow(self) -> None:
+    async def follow_events(self) -> None:
         """Take events until cancelled; an engine that has none is asked seldom."""
         while True:
             try:
@@ -88,7 +91,7 @@
         events = [
             EngineEvent(e.serial, e.kind == "stored", e.block) for e in found.events
         ]
-        self._digest.take(found.epoch, events)
+        self._digest.apply_events(found.epoch, events)
 
 
 def _engine_names(salt: str, text: str, count: int) -> list[str]:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
@@ -11,7 +11,7 @@
 from amaranthtally.policy.model_orders import Load, Order, SetRole, Unload
 from amaranthtally.settings import ModelReference
 
-__all__ = ["EngineOrders", "Grant", "LeaseLapsedError", "OrderError", "boot_time"]
+__all__ = ["EngineOrders", "LeaseGrant", "LeaseExpiredError", "OrderError", "boot_time"]
 
 ORDER_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 2.0
@@ -27,7 +27,7 @@
     """The engine did not take an order."""
 
 
-class LeaseLapsedError(OrderError):
+class LeaseExpiredError(OrderError):
     """Too little of the lease is left; nothing was sent."""
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseGrant:
     """A fencing number, and until when its lease surely holds, in boot seconds."""
 
     fencing: int
@@ -84,7 +84,7 @@
             ) from error
         return EngineModels(frozenset(state.models), state.role)
 
-    async def give(self, order: Order, grant: Grant) -> None:
+    async def give(self, order: Order, grant: LeaseGrant) -> None:
         """Give one order; raises ``OrderError``."""
         body = msgspec.json.encode(_written(order, grant.fencing))
         try:
@@ -97,18 +97,18 @@
                     raise OrderError("engine knows a newer fencing number")
                 response.raise_for_status()
         except (aiohttp.ClientError, TimeoutError) as error:
-            if isinstance(error.__cause__, LeaseLapsedError):
+            if isinstance(error.__cause__, LeaseExpiredError):
                 raise error.__cause__ from None
             raise OrderError(f"order unanswered: {type(error).__name__}") from error
 
-    async def _checked(self, order: bytes, grant: Grant) -> AsyncIterator[bytes]:
+    async def _checked(self, order: bytes, grant: LeaseGrant) -> AsyncIterator[bytes]:
         # A holder that was paused between taking the lease and sending would give
         # an old order after its successor's, and an engine that ignores numbers
         # would obey. The body is made in the loop step that writes it, so the clock
         # is read after any pause up to here; only a pause between this line and the
         # write itself is not seen (docs/DESIGN.md).
         if self._clock() + ORDER_TIMEOUT_S > grant.until:
-            raise LeaseLapsedError
+            raise LeaseExpiredError
         yield order
 
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -10,27 +10,27 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.settings_sync import SettingsSync
 from amaranthtally.daemon.sidecar.adapters import EndpointCall, adapter_for
+from amaranthtally.daemon.sidecar.at_most_once import AtMostOnceCalls
 from amaranthtally.daemon.sidecar.endpoint_call import call_endpoint
 from amaranthtally.daemon.sidecar.engine_cache import EngineCache
 from amaranthtally.daemon.sidecar.handover import read_handover
 from amaranthtally.daemon.sidecar.metrics import EndpointMetrics
-from amaranthtally.daemon.sidecar.once import OnceCalls
-from amaranthtally.daemon.sidecar.records import Tombstones
 from amaranthtally.daemon.sidecar.served_models import ServedModels
+from amaranthtally.daemon.sidecar.tombstones import Tombstones
 from amaranthtally.daemon.signatures import KeyRing
 from amaranthtally.policy import QueuedCall, RunQueue
 from amaranthtally.policy.handover import HandedLedgers, Handover
 from amaranthtally.policy.once import CallLedger
 from amaranthtally.settings import SidecarSettings
 from amaranthtally.wire import (
+    AtMostOnceTerms,
     CallId,
     ChunkHandler,
-    Greeting,
-    Inquiry,
+    HelloReply,
     Load,
-    OnceTerms,
+    OutcomeQuery,
+    SettingsDelta,
     SettingsFetcher,
-    SettingsGap,
     StageCall,
     StageReply,
     Status,
@@ -67,7 +67,7 @@
         self._adapter = adapter_for(settings.endpoint_kind)
         self._incarnation = secrets.randbits(INCARNATION_BITS) | 1
         self._queue = RunQueue(settings.concurrency, settings.queue_capacity)
-        self._once = OnceCalls(
+        self._once = AtMostOnceCalls(
             CallLedger(
                 self._incarnation, settings.record_capacity, settings.record_ttl
             ),
@@ -108,11 +108,11 @@
 
     async def hello(
         self, entry: str, revision: int, fetch: SettingsFetcher
-    ) -> Greeting:
+    ) -> HelloReply:
         """Greet an entry."""
         log.info("entry_connected", entry=entry, revision=revision)
         self._sync.add_source(entry, revision, fetch)
-        return Greeting(self._settings.endpoint, self.load())
+        return HelloReply(self._settings.endpoint, self.load())
 
     def load(self) -> Load:
         """Return the present load."""
@@ -129,11 +129,11 @@
             models=self._models.state,
         )
 
-    def changes_since(self, revision: int) -> SettingsGap:
+    def changes_since(self, revision: int) -> SettingsDelta:
         """Return the settings changes known here after ``revision``."""
         return self._sync.changes_since(revision)
 
-    def announced(self, revision: int, fetch: SettingsFetcher) -> int:
+    def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
         """Hear of a peer's revision and return one's own."""
         self._sync.heard(revision, fetch)
         return self._sync.revision
@@ -145,7 +145,7 @@
         self._metrics.call_ended(reply)
         if self._cache is None:
             return reply
-        return replace(reply, cache=self._cache.news(call.cache_serial))
+        return replace(reply, cache=self._cache.update_since(call.cache_serial))
 
     async def cancel(self, call_id: CallId) -> StageReply:
         """Cancel a call that has not started; a late copy of it is refused."""
@@ -154,11 +154,11 @@
             return self.not_run(call_id, "cancelled before start")
         return self.reply(call_id, Status.UNKNOWN, reason="not waiting")
 
-    async def inquire(
-        self, call_key: str, terms: OnceTerms, inquiry: Inquiry
+    async def query_outcome(
+        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
         """Say what became of a call that may not be repeated."""
-        return await self._once.inquire(call_key, terms, inquiry)
+        return await self._once.query_outcome(call_key, terms, inquiry)
 
     async def hand_over(self, body: bytes, signature: bytes) -> bool:
         """Take a stopping peer's records; false where they are not kept."""
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/orders.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -9,7 +9,7 @@
 
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.sidecar.engine_orders import EngineOrders, OrderError
-from amaranthtally.daemon.sidecar.order_lease import NotHeldError, OrderLease
+from amaranthtally.daemon.sidecar.order_lease import LeaseNotHeldError, OrderLease
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.daemon.sidecar.weights import WeightsError, copy_weights
 from amaranthtally.platform import LeaseClient
@@ -25,7 +25,7 @@
 from amaranthtally.settings.catalogue import ENDPOINT_PREFIX
 from amaranthtally.settings.kinds import Role
 
-__all__ = ["ModelOrders"]
+__all__ = ["ModelReconciler"]
 
 RETRY_S = 0.5
 # An order of a paused former holder may have undone ours: look again now and then.
@@ -34,7 +34,7 @@
 log = get_logger()
 
 
-class ModelOrders:
+class ModelReconciler:
     """Plans the orders of one engine anew after each of them, and gives them."""
 
     def __init__(
@@ -131,7 +131,7 @@
     async def _try(self, order: Order) -> bool:
         try:
             await self._give(order)
-        except (OrderError, WeightsError, NotHeldError) as error:
+        except (OrderError, WeightsError, LeaseNotHeldError) as error:
             self._failed(f"{_words(order)} failed: {error}")
             return False
         return True
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
@@ -8,10 +8,10 @@
 import msgspec
 from result import Err, Result
 
-from amaranthtally.daemon.sidecar.engine_orders import Grant, boot_time
+from amaranthtally.daemon.sidecar.engine_orders import LeaseGrant, boot_time
 from amaranthtally.platform import LeaseClient, PlatformAnswerLost, PlatformError
 
-__all__ = ["NotHeldError", "OrderLease"]
+__all__ = ["LeaseNotHeldError", "OrderLease"]
 
 ValueT = TypeVar("ValueT")
 KEY_PREFIX = "orders/"
@@ -33,7 +33,7 @@
     revision: int = 0
 
 
-class NotHeldError(Exception):
+class LeaseNotHeldError(Exception):
     """Another process holds the lease, or the platform cannot be reached."""
 
 
@@ -52,13 +52,13 @@
         self._holder = secrets.token_hex(HOLDER_BYTES)
 
     @asynccontextmanager
-    async def hold(self, revision: int) -> AsyncIterator[Grant]:
-        """Hold the lease for an order under settings; raises ``NotHeldError``."""
+    async def hold(self, revision: int) -> AsyncIterator[LeaseGrant]:
+        """Hold the lease for an order under settings; raises ``LeaseNotHeldError``."""
         asked_at = boot_time()
         session = _value(await self._leases.open_session(self._ttl))
         try:
             fencing = await self._take_number(session, revision)
-            yield Grant(fencing, asked_at + self._ttl * (1 - MARGIN_SHARE))
+            yield LeaseGrant(fencing, asked_at + self._ttl * (1 - MARGIN_SHARE))
         finally:
             await self._leases.close_session(session)
 
@@ -69,7 +69,7 @@
         # take the lease anew and unload what its successor has just loaded. What is
         # done under newer settings is not undone under older ones.
         if last.revision > revision:
-            raise NotHeldError(
+            raise LeaseNotHeldError(
                 f"orders were given under settings revision {last.revision}, "
                 f"{revision} is known here; waiting for the newer"
             )
@@ -81,10 +81,10 @@
             # it. It can't be that of an earlier try, which had a lower number.
             found = _fence(_value(await self._leases.read(self._key)).value)
             if found != mine:
-                raise NotHeldError("another process took the lease")
+                raise LeaseNotHeldError("another process took the lease")
             return mine.fencing
         if not _value(taken):
-            raise NotHeldError("another process holds the lease")
+            raise LeaseNotHeldError("another process holds the lease")
         return mine.fencing
 
 
@@ -94,5 +94,5 @@
 
 def _value(answer: Result[ValueT, PlatformError]) -> ValueT:
     if isinstance(answer, Err):
-        raise NotHeldError(str(answer.err_value))
+        raise LeaseNotHeldError(str(answer.err_value))
     return answer.ok_value
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_digest.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_cache_index.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from amaranthtally.wire import CacheNews
+from amaranthtally.wire import CacheUpdate
 
-__all__ = ["EngineEvent", "PrefixDigest"]
+__all__ = ["EngineEvent", "PrefixCacheIndex"]
 
 MOST_NAMES = 8_192
-MOST_CHANGES = 1_024
-MOST_TOLD = 64
+MAX_CHANGES = 1_024
+MAX_UPDATE_BLOCKS = 64
 
 
 class EngineEvent(NamedTuple):
@@ -27,7 +27,7 @@
     block: int
 
 
-class PrefixDigest:
+class PrefixCacheIndex:
     """
     The blocks of prompts sent through here that the engine holds.
 
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._names: OrderedDict[str, int] = OrderedDict()
         self._held: OrderedDict[int, None] = OrderedDict()
-        self._changes: deque[_Change] = deque(maxlen=MOST_CHANGES)
+        self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._serial = 0
         self._known_from = 0
         self._epoch = ""
@@ -61,7 +61,7 @@
         """Serial of the engine's last event taken."""
         return self._last_event
 
-    def note_prompt(self, names: Iterable[str], blocks: Iterable[int]) -> None:
+    def record_prompt(self, names: Iterable[str], blocks: Iterable[int]) -> None:
         """Note how the engine names the blocks of a prompt that is sent to it."""
         for name, block in zip(names, blocks, strict=False):
             self._names[name] = block
@@ -71,7 +71,7 @@
             # Its removal could not be told any more.
             self._remove(block)
 
-    def take(self, epoch: str, events: Sequence[EngineEvent]) -> None:
+    def apply_events(self, epoch: str, events: Sequence[EngineEvent]) -> None:
         """Take events of one start of the engine, oldest first."""
         if epoch != self._epoch:
             self._clear()
@@ -85,18 +85,18 @@
             self._last_event = event.serial
             self._take_event(event)
 
-    def news(self, after: int) -> CacheNews:
+    def update_since(self, after: int) -> CacheUpdate:
         """Return what an entry lacks that was told everything up to a serial."""
         if after == self._serial:
-            return CacheNews(self._serial)
+            return CacheUpdate(self._serial)
         if not self._known_from <= after < self._serial:
-            newest = list(self._held)[-MOST_TOLD:]
-            return CacheNews(self._serial, tuple(newest), reset=True)
+            newest = list(self._held)[-MAX_UPDATE_BLOCKS:]
+            return CacheUpdate(self._serial, tuple(newest), reset=True)
         latest = self._changed_since(after)
-        if len(latest) > MOST_TOLD:
-            newest = list(self._held)[-MOST_TOLD:]
-            return CacheNews(self._serial, tuple(newest), reset=True)
-        return CacheNews(
+        if len(latest) > MAX_UPDATE_BLOCKS:
+            newest = list(self._held)[-MAX_UPDATE_BLOCKS:]
+            return CacheUpdate(self._serial, tuple(newest), reset=True)
+        return CacheUpdate(
             self._serial,
             stored=tuple(block for block, stored in latest.items() if stored),
             removed=tuple(block for block, stored in latest.items() if not stored),
@@ -129,7 +129,7 @@
 
     def _note(self, stored: bool, block: int) -> None:
         self._serial += 1
-        if len(self._changes) == MOST_CHANGES:
+        if len(self._changes) == MAX_CHANGES:
             self._known_from = self._changes[0].serial
         self._changes.append(_Change(self._serial, stored, block))
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
@@ -18,9 +18,9 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.daemon.settings_sync import SIDECAR_LINKS, SettingsSync
-from amaranthtally.daemon.sidecar.endpoint_part import (
-    EndpointPart,
-    SharedParts,
+from amaranthtally.daemon.sidecar.endpoint_service import (
+    EndpointService,
+    SharedResources,
     open_endpoint,
 )
 from amaranthtally.daemon.sidecar.metrics import SidecarMetrics
@@ -59,17 +59,17 @@
         log.info("sidecar_stopped", endpoint=settings.endpoint)
 
 
-async def _open_shared(stack: AsyncExitStack, names: list[str]) -> SharedParts:
+async def _open_shared(stack: AsyncExitStack, names: list[str]) -> SharedResources:
     session = await stack.enter_async_context(_open_session())
     state = SettingsState()
     sync = SettingsSync(names[0], state, SIDECAR_LINKS, names[1:])
     stack.push_async_callback(sync.close)
     run_beside(stack, sync.run())
-    return SharedParts(session, state, sync, SidecarMetrics())
+    return SharedResources(session, state, sync, SidecarMetrics())
 
 
 async def _serve_health(
-    stack: AsyncExitStack, stop: StopSignal, parts: list[EndpointPart]
+    stack: AsyncExitStack, stop: StopSignal, parts: list[EndpointService]
 ) -> int:
     def refresh() -> None:
         for part in parts:
@@ -81,7 +81,7 @@
     return await stack.enter_async_context(serve_http(app, address, HTTP_GRACE_S))
 
 
-async def _leave(stop: StopSignal, part: EndpointPart) -> None:
+async def _leave(stop: StopSignal, part: EndpointService) -> None:
     settings = part.settings
     log.info("sidecar_leaving", endpoint=settings.endpoint)
     work = part.departure.leave()
--- a/packages/wire/src/amaranthtally/wire/joiner.py
+++ b/packages/wire/src/amaranthtally/wire/chunk_batcher.py
@@ -11,7 +11,7 @@
 __all__ = [
     "HOLD_S",
     "MAX_UNACKNOWLEDGED_CHARS",
-    "ChunkJoiner",
+    "ChunkBatcher",
     "ChunkStream",
     "SendParts",
 ]
@@ -28,7 +28,7 @@
 class ChunkStream:
     """One call's chunks on their way; dropped once the call has ended."""
 
-    def __init__(self, joiner: "ChunkJoiner", number: int, call_id: CallId) -> None:
+    def __init__(self, joiner: "ChunkBatcher", number: int, call_id: CallId) -> None:
         self.number = number
         self.call_id = call_id
         self.message: asyncio.Task[None] | None = None
@@ -59,7 +59,7 @@
         self._ended = True
 
 
-class ChunkJoiner:
+class ChunkBatcher:
     """
     Holds chunks back for up to ``HOLD_S`` and sends them in one message.
 
--- a/packages/wire/src/amaranthtally/wire/client.py
+++ b/packages/wire/src/amaranthtally/wire/client.py
@@ -16,13 +16,13 @@
 )
 from amaranthtally.wire.errors import PeerLostError, ReplyMismatchError
 from amaranthtally.wire.messages import (
+    AtMostOnceTerms,
     CallId,
     ChunksHandler,
-    Greeting,
-    Inquiry,
+    HelloReply,
     Load,
-    OnceTerms,
-    SettingsGap,
+    OutcomeQuery,
+    SettingsDelta,
     StageCall,
     StageReply,
 )
@@ -30,7 +30,7 @@
     LoadHandler,
     SettingsSource,
     entry_server,
-    read_gap,
+    read_settings_delta,
     settings_server,
 )
 from amaranthtally.wire.streams import OpenStreams
@@ -69,7 +69,7 @@
         revision: int,
         source: SettingsSource,
         on_load: LoadHandler | None = None,
-    ) -> Greeting:
+    ) -> HelloReply:
         """
         Greet the sidecar and let it read the settings of ``source``.
 
@@ -82,7 +82,7 @@
                 settings=entry_server(source, on_load or _no_load, self._streams),
             )
         )
-        return Greeting(answer.endpoint, read_load(answer.load))
+        return HelloReply(answer.endpoint, read_load(answer.load))
 
     async def run(self, call: StageCall, on_chunks: ChunksHandler | None) -> StageReply:
         """
@@ -116,8 +116,8 @@
         answer = await self._guard(request.send())
         return self._check(call_id, read_reply(answer.reply))
 
-    async def inquire(
-        self, call_key: str, terms: OnceTerms, inquiry: Inquiry
+    async def query_outcome(
+        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
         """Ask what became of a call that may not be repeated."""
         request = self._sidecar.inquire_request()
@@ -143,11 +143,13 @@
         answer = await self._guard(self._sidecar.load())
         return read_load(answer.load)
 
-    async def changes_since(self, revision: int) -> SettingsGap:
+    async def changes_since(self, revision: int) -> SettingsDelta:
         """Read the settings changes that the sidecar has after ``revision``."""
-        return read_gap(await self._guard(self._sidecar.changesSince(revision)))
+        return read_settings_delta(
+            await self._guard(self._sidecar.changesSince(revision))
+        )
 
-    async def announce(self, revision: int, source: SettingsSource) -> int:
+    async def announce_revision(self, revision: int, source: SettingsSource) -> int:
         """Tell the sidecar a revision that ``source`` has; return the sidecar's."""
         answer = await self._guard(
             self._sidecar.announce(revision=revision, source=settings_server(source))
--- a/packages/wire/src/amaranthtally/wire/codec.py
+++ b/packages/wire/src/amaranthtally/wire/codec.py
@@ -10,14 +10,14 @@
     to_seconds,
 )
 from amaranthtally.wire.load_codec import (
+    read_cache_update,
     read_load,
-    read_news,
+    write_cache_update,
     write_load,
-    write_news,
 )
 from amaranthtally.wire.messages import (
+    AtMostOnceTerms,
     CallId,
-    OnceTerms,
     StageCall,
     StageReply,
     Status,
@@ -58,8 +58,8 @@
 # Terms of calls that may not be repeated
 
 
-def write_terms(target: Any, terms: OnceTerms) -> None:
-    """Fill an ``OnceTerms`` builder."""
+def write_terms(target: Any, terms: AtMostOnceTerms) -> None:
+    """Fill an ``AtMostOnceTerms`` builder."""
     target.incarnation = terms.incarnation
     target.issuedMicros = to_micros(terms.issued_s)
     target.permit = terms.permit
@@ -77,12 +77,12 @@
 )
 
 
-def read_terms(source: Any) -> OnceTerms:
+def read_terms(source: Any) -> AtMostOnceTerms:
     """Return the terms held by a reader."""
     incarnation, issued_micros, permit, fingerprint, expires_micros = read_fields(
         source, _TERMS
     )
-    return OnceTerms(
+    return AtMostOnceTerms(
         incarnation=incarnation,
         issued_s=to_seconds(issued_micros),
         permit=permit,
@@ -147,7 +147,7 @@
         revision,
         cache_serial,
     ) = read_fields(source, _CALL)
-    terms, call_key = OnceTerms(), ""
+    terms, call_key = AtMostOnceTerms(), ""
     if not repeatable:
         found, call_key = read_fields(source, _CALL_ONCE)
         terms = read_terms(found)
@@ -182,7 +182,7 @@
     target.runMicros = to_micros(reply.run_s)
     target.permit = reply.permit
     if reply.cache.serial:
-        write_news(target.cache, reply.cache)
+        write_cache_update(target.cache, reply.cache)
 
 
 _REPLY = fields_of(
@@ -228,5 +228,5 @@
         queued_s=to_seconds(queued_micros),
         run_s=to_seconds(run_micros),
         permit=permit,
-        cache=read_news(cache),
+        cache=read_cache_update(cache),
     )
--- a/packages/wire/src/amaranthtally/wire/documents.py
+++ b/packages/wire/src/amaranthtally/wire/documents.py
@@ -94,7 +94,7 @@
         if len(self._snapshots) > KEPT_SNAPSHOTS:
             del self._snapshots[next(iter(self._snapshots))]
 
-    def part(self, request: PartRequest) -> DocumentPart:
+    def read_part(self, request: PartRequest) -> DocumentPart:
         """Return the part that was asked for, or the newest snapshot's first."""
         asked = self._snapshots.get(request.checksum)
         if asked is not None and 0 < request.offset < len(asked.packed):
@@ -123,7 +123,7 @@
         return self._version
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every part has come."""
         return 0 < self._size <= len(self._parts)
 
--- a/packages/wire/src/amaranthtally/wire/gateway_codec.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_codec.py
@@ -17,7 +17,7 @@
 from amaranthtally.wire.documents import Document, DocumentPart, PartRequest
 
 __all__ = [
-    "Greeting",
+    "GatewayStatus",
     "Versions",
     "gateway_schema",
     "read_asks",
@@ -63,7 +63,7 @@
         return self.configuration if is_configuration else self.records
 
 
-class Greeting(NamedTuple):
+class GatewayStatus(NamedTuple):
     """What a gateway answers a greeting; ``leaving`` once it has been told to stop."""
 
     versions: Versions = Versions()
--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -11,7 +11,7 @@
 from amaranthtally.wire.documents import DocumentPart, PartRequest
 from amaranthtally.wire.errors import PeerLostError
 from amaranthtally.wire.gateway_codec import (
-    Greeting,
+    GatewayStatus,
     Versions,
     gateway_schema,
     read_asks,
@@ -34,19 +34,21 @@
 class GatewayHandler(Protocol):
     """What a gateway does with the calls of another; none of them waits."""
 
-    def greeted(self, name: str, record: PeerRecord, versions: Versions) -> Greeting:
+    def exchange_status(
+        self, name: str, record: PeerRecord, versions: Versions
+    ) -> GatewayStatus:
         """Hear a peer's versions and return one's own, and whether this one leaves."""
 
-    def part(self, request: PartRequest) -> DocumentPart:
+    def read_part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
 
-    def asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def submit_jobs(self, asker: str, asks: Sequence[PieceAsk]) -> None:
         """Take pieces that a peer wants made."""
 
-    def told(self, told: Sequence[PieceTold]) -> None:
+    def report_outcomes(self, told: Sequence[PieceTold]) -> None:
         """Hear what became of pieces."""
 
-    def freed(self, results: Sequence[StoredResult], ended: str) -> None:
+    def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
         """Hear that results are read no more, and of a request that has ended."""
 
 
@@ -70,9 +72,9 @@
         """Address of the gateway."""
         return self._peer
 
-    async def greet(
+    async def exchange_status(
         self, name: str, record: PeerRecord, versions: Versions
-    ) -> Greeting:
+    ) -> GatewayStatus:
         """Tell one's versions; return the peer's, and whether it leaves."""
         request = self._gateway.greet_request()
         request.name = name
@@ -80,28 +82,32 @@
         request.dataCentre = record.data_centre
         write_versions(request.versions, versions)
         answer = await self._send(request)
-        return Greeting(read_versions(answer.versions), answer.leaving)
+        return GatewayStatus(read_versions(answer.versions), answer.leaving)
 
-    async def read(self, request: PartRequest) -> DocumentPart:
+    async def read_part(self, request: PartRequest) -> DocumentPart:
         """Read a part of the peer's configuration or records."""
         sent = self._gateway.read_request()
         write_part_request(sent, request)
         return read_part(await self._send(sent))
 
-    async def ask(self, asker: str, asks: Sequence[PieceAsk], now: float) -> None:
+    async def submit_jobs(
+        self, asker: str, asks: Sequence[PieceAsk], now: float
+    ) -> None:
         """Ask for pieces."""
         request = self._gateway.ask_request()
         request.asker = asker
         write_asks(request, asks, now)
         await self._send(request)
 
-    async def tell(self, told: Sequence[PieceTold]) -> None:
+    async def report_outcomes(self, told: Sequence[PieceTold]) -> None:
         """Tell what became of pieces."""
         request = self._gateway.tell_request()
         write_told(request, told)
         await self._send(request)
 
-    async def free(self, results: Sequence[StoredResult], ended: str) -> None:
+    async def release_results(
+        self, results: Sequence[StoredResult], ended: str
+    ) -> None:
         """Tell that results are read no more, or that a request has ended."""
         request = self._gateway.free_request()
         request.ended = ended
@@ -137,7 +143,7 @@
         **_: Any,
     ) -> None:
         record = PeerRecord(address, dataCentre)
-        own = self._handler.greeted(name, record, read_versions(versions))
+        own = self._handler.exchange_status(name, record, read_versions(versions))
         write_versions(_context.results.versions, own.versions)
         _context.results.leaving = own.leaving
 
@@ -145,16 +151,16 @@
         self, document: Any, checksum: int, offset: int, _context: Any, **_: Any
     ) -> None:
         request = read_part_request(document, checksum, offset)
-        write_part(_context.results, self._handler.part(request))
+        write_part(_context.results, self._handler.read_part(request))
 
     async def ask(self, asker: str, asks: Any, _context: Any, **_: Any) -> None:
-        self._handler.asked(asker, read_asks(asks, self._loop.time()))
+        self._handler.submit_jobs(asker, read_asks(asks, self._loop.time()))
 
     async def tell(self, told: Any, _context: Any, **_: Any) -> None:
-        self._handler.told(read_told(told))
+        self._handler.report_outcomes(read_told(told))
 
     async def free(self, results: Any, ended: str, _context: Any, **_: Any) -> None:
-        self._handler.freed(read_results(results), ended)
+        self._handler.release_results(read_results(results), ended)
 
 
 async def connect_gateway(
--- a/packages/wire/src/amaranthtally/wire/load_codec.py
+++ b/packages/wire/src/amaranthtally/wire/load_codec.py
@@ -9,9 +9,9 @@
     to_micros,
     to_seconds,
 )
-from amaranthtally.wire.messages import NO_NEWS, CacheNews, Load, ModelState
+from amaranthtally.wire.messages import NO_CACHE_UPDATE, CacheUpdate, Load, ModelState
 
-__all__ = ["read_load", "read_news", "write_load", "write_news"]
+__all__ = ["read_load", "read_cache_update", "write_load", "write_cache_update"]
 
 
 def write_load(target: Any, load: Load) -> None:
@@ -94,8 +94,8 @@
 # News of the prefix cache
 
 
-def write_news(target: Any, news: CacheNews) -> None:
-    """Fill a ``CacheNews`` builder."""
+def write_cache_update(target: Any, news: CacheUpdate) -> None:
+    """Fill a ``CacheUpdate`` builder."""
     target.serial = news.serial
     target.reset = news.reset
     if news.stored:
@@ -108,10 +108,10 @@
 _NEWS = fields_of(schema.CacheNews, "stored", "removed", "reset")
 
 
-def read_news(source: Any) -> CacheNews:
+def read_cache_update(source: Any) -> CacheUpdate:
     """Return the news held by a reader."""
     (serial,) = read_fields(source, _NEWS_SERIAL)
     if not serial:
-        return NO_NEWS
+        return NO_CACHE_UPDATE
     stored, removed, reset = read_fields(source, _NEWS)
-    return CacheNews(serial, tuple(stored), tuple(removed), reset)
+    return CacheUpdate(serial, tuple(stored), tuple(removed), reset)
--- a/packages/wire/src/amaranthtally/wire/messages.py
+++ b/packages/wire/src/amaranthtally/wire/messages.py
@@ -5,16 +5,16 @@
 from enum import Enum
 
 __all__ = [
-    "CacheNews",
+    "CacheUpdate",
     "CallId",
     "ChunkHandler",
     "ChunksHandler",
-    "Greeting",
-    "Inquiry",
+    "HelloReply",
+    "OutcomeQuery",
     "Load",
     "ModelState",
-    "OnceTerms",
-    "SettingsGap",
+    "AtMostOnceTerms",
+    "SettingsDelta",
     "StageCall",
     "StageReply",
     "Status",
@@ -37,15 +37,15 @@
     CONFLICT = "conflict"
 
 
-class Inquiry(Enum):
+class OutcomeQuery(Enum):
     """
     How to ask after a call that may not be repeated.
 
-    ``LOOK`` answers at once, ``WAIT`` once the call has ended, ``WITHDRAW``
+    ``POLL`` answers at once, ``WAIT`` once the call has ended, ``WITHDRAW``
     keeps it from starting where it has not.
     """
 
-    LOOK = "look"
+    POLL = "look"
     WAIT = "wait"
     WITHDRAW = "withdraw"
 
@@ -81,7 +81,7 @@
     ``backlog_s`` the predicted wait of a new call, both in seconds.
     ``incarnation`` is drawn anew at each start of the sidecar; ``clock_s`` is the
     time on that incarnation's own clock. ``models`` is ``None`` where any model is
-    answered. ``ended`` is not sent: an entry counts there the calls of its own that
+    answered. ``ended_calls`` is not sent: an entry counts there the calls of its own that
     this load came with the replies of.
     """
 
@@ -95,11 +95,11 @@
     revision: int = 0
     clock_s: float = 0.0
     models: ModelState | None = None
-    ended: int = 0
+    ended_calls: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class OnceTerms:
+class AtMostOnceTerms:
     """
     Which incarnation alone may run a call, and from which copies.
 
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CacheNews:
+class CacheUpdate:
     """
     Blocks of prompts that a sidecar's engine stored and removed since a serial.
 
@@ -130,7 +130,7 @@
     reset: bool = False
 
 
-NO_NEWS = CacheNews()
+NO_CACHE_UPDATE = CacheUpdate()
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,7 +150,7 @@
     remaining_s: float
     priority: int = 0
     repeatable: bool = True
-    terms: OnceTerms = OnceTerms()
+    terms: AtMostOnceTerms = AtMostOnceTerms()
     call_key: str = ""
     streaming: bool = False
     resume_offset: int = 0
@@ -178,7 +178,7 @@
     run_s: float = 0.0
     permanent: bool = False
     permit: int = 0
-    cache: CacheNews = NO_NEWS
+    cache: CacheUpdate = NO_CACHE_UPDATE
 
 
 @dataclass(frozen=True, slots=True)
@@ -197,7 +197,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Greeting:
+class HelloReply:
     """A sidecar's answer to ``hello``."""
 
     endpoint: str
@@ -205,7 +205,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SettingsGap:
+class SettingsDelta:
     """
     Changes that a peer has after a revision, encoded, oldest first.
 
--- a/packages/wire/src/amaranthtally/wire/server.py
+++ b/packages/wire/src/amaranthtally/wire/server.py
@@ -7,6 +7,7 @@
 
 import capnp
 
+from amaranthtally.wire.chunk_batcher import ChunkBatcher, SendParts
 from amaranthtally.wire.codec import (
     read_call,
     read_call_id,
@@ -18,15 +19,14 @@
 )
 from amaranthtally.wire.connections import EntryConnections
 from amaranthtally.wire.errors import PeerLostError
-from amaranthtally.wire.joiner import ChunkJoiner, SendParts
 from amaranthtally.wire.messages import (
+    AtMostOnceTerms,
     CallId,
     ChunkHandler,
-    Greeting,
-    Inquiry,
+    HelloReply,
     Load,
-    OnceTerms,
-    SettingsGap,
+    OutcomeQuery,
+    SettingsDelta,
     StageCall,
     StageReply,
     StreamPart,
@@ -50,25 +50,25 @@
 class SettingsSource(Protocol):
     """Whoever can tell a peer the changes it lacks."""
 
-    def changes_since(self, revision: int) -> SettingsGap:
+    def changes_since(self, revision: int) -> SettingsDelta:
         """Return the changes after ``revision``, oldest first."""
 
 
 # Receives the load that a sidecar tells unasked.
 LoadHandler = Callable[[Load], None]
 # Reads, from the peer at the other end, its changes after a revision.
-SettingsFetcher = Callable[[int], Awaitable[SettingsGap]]
+SettingsFetcher = Callable[[int], Awaitable[SettingsDelta]]
 
 
 class SidecarHandler(SettingsSource, Protocol):
     """What a sidecar does with the calls of an entry."""
 
-    def announced(self, revision: int, fetch: SettingsFetcher) -> int:
+    def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
         """Hear of a peer's revision and return one's own."""
 
     async def hello(
         self, entry: str, revision: int, fetch: SettingsFetcher
-    ) -> Greeting:
+    ) -> HelloReply:
         """Greet an entry; ``fetch`` reads the changes that the entry has."""
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
@@ -77,8 +77,8 @@
     async def cancel(self, call_id: CallId) -> StageReply:
         """Cancel a call; a tombstone refuses a copy that arrives later."""
 
-    async def inquire(
-        self, call_key: str, terms: OnceTerms, inquiry: Inquiry
+    async def query_outcome(
+        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
         """Say what became of a call that may not be repeated."""
 
@@ -99,7 +99,7 @@
     async def changesSince(  # noqa: N802 - name fixed by the schema
         self, revision: int, _context: Any, **_: Any
     ) -> None:
-        _write_gap(_context.results, self._source.changes_since(revision))
+        _write_settings_delta(_context.results, self._source.changes_since(revision))
 
 
 class _EntryServer(schema.EntryPeer.Server):
@@ -122,14 +122,14 @@
     async def changesSince(  # noqa: N802 - name fixed by the schema
         self, revision: int, _context: Any, **_: Any
     ) -> None:
-        _write_gap(_context.results, self._source.changes_since(revision))
+        _write_settings_delta(_context.results, self._source.changes_since(revision))
 
 
 class _SidecarServer(schema.Sidecar.Server):
     def __init__(self, handler: SidecarHandler, connections: EntryConnections) -> None:
         self._handler = handler
         self._connections = connections
-        self._joiner: ChunkJoiner | None = None
+        self._joiner: ChunkBatcher | None = None
 
     def end(self) -> None:
         """Drop the chunks that can't be sent any more."""
@@ -139,12 +139,12 @@
     async def changesSince(  # noqa: N802 - name fixed by the schema
         self, revision: int, _context: Any, **_: Any
     ) -> None:
-        _write_gap(_context.results, self._handler.changes_since(revision))
+        _write_settings_delta(_context.results, self._handler.changes_since(revision))
 
     async def announce(
         self, revision: int, source: Any, _context: Any, **_: Any
     ) -> None:
-        own = self._handler.announced(revision, _fetcher(source))
+        own = self._handler.announce_revision(revision, _fetcher(source))
         _context.results.revision = own
 
     async def hello(
@@ -154,7 +154,7 @@
             self._handler.hello(entry, revision, _fetcher(settings))
         )
         self._connections.greeted(self, settings)
-        self._joiner = ChunkJoiner(_parts_sender(settings))
+        self._joiner = ChunkBatcher(_parts_sender(settings))
         _context.results.endpoint = greeting.endpoint
         write_load(_context.results.load, greeting.load)
 
@@ -184,7 +184,9 @@
         **_: Any,
     ) -> None:
         reply = await _if_wanted(
-            self._handler.inquire(callKey, read_terms(terms), Inquiry(str(inquiry)))
+            self._handler.query_outcome(
+                callKey, read_terms(terms), OutcomeQuery(str(inquiry))
+            )
         )
         write_reply(_context.results.reply, reply)
 
@@ -243,25 +245,25 @@
 
 
 def _fetcher(peer: Any) -> SettingsFetcher:
-    async def fetch(after: int) -> SettingsGap:
+    async def fetch(after: int) -> SettingsDelta:
         try:
-            return read_gap(await peer.changesSince(after))
+            return read_settings_delta(await peer.changesSince(after))
         except capnp.KjException as error:
             raise PeerLostError("settings peer", str(error).splitlines()[0]) from error
 
     return fetch
 
 
-def _write_gap(target: Any, gap: SettingsGap) -> None:
+def _write_settings_delta(target: Any, gap: SettingsDelta) -> None:
     target.revision = gap.revision
     target.changes = list(gap.changes)
     target.snapshot = gap.snapshot
 
 
-def read_gap(source: Any) -> SettingsGap:
+def read_settings_delta(source: Any) -> SettingsDelta:
     """Return the settings gap held by a reader."""
     changes = tuple(bytes(change) for change in source.changes)
-    return SettingsGap(source.revision, changes, bytes(source.snapshot))
+    return SettingsDelta(source.revision, changes, bytes(source.snapshot))
 
 
 @asynccontextmanager
--- a/tests/at_most_once/test_ledger.py
+++ b/tests/at_most_once/test_ledger.py
@@ -13,7 +13,7 @@
 
 from amaranthtally.policy.handover import HandedCall, HandedLedgers, Handover
 from amaranthtally.policy.once import KEEP_MARGIN_S, CallLedger, CallState, Verdict
-from amaranthtally.wire import OnceTerms
+from amaranthtally.wire import AtMostOnceTerms
 
 INCARNATION = 7
 CAPACITY = 3
@@ -26,7 +26,7 @@
     """A call on its way, sent at the ``order``-th step."""
 
     key: str
-    terms: OnceTerms
+    terms: AtMostOnceTerms
     order: int
 
 
@@ -61,7 +61,7 @@
         key, issued = token
         self.order += 1
         permit = self.ledger.permit(key)
-        terms = OnceTerms(INCARNATION, issued, permit, fingerprint)
+        terms = AtMostOnceTerms(INCARNATION, issued, permit, fingerprint)
         return Copy(key, terms, self.order)
 
     @rule(target=running, copy=copies)
@@ -129,7 +129,7 @@
     ledger = CallLedger(INCARNATION, 2, TTL_S)
 
     def terms(issued):
-        return OnceTerms(INCARNATION, issued, 0, "a")
+        return AtMostOnceTerms(INCARNATION, issued, 0, "a")
 
     assert ledger.open(0.0, "one", terms(0.0)) is Verdict.FRESH
     assert ledger.open(0.0, "two", terms(0.0)) is Verdict.FRESH
--- a/tests/failure/test_early_bytes.py
+++ b/tests/failure/test_early_bytes.py
@@ -6,9 +6,9 @@
 import capnp
 
 from amaranthtally.wire import (
-    Greeting,
+    HelloReply,
     Load,
-    SettingsGap,
+    SettingsDelta,
     connect_sidecar,
     serve_sidecar,
 )
@@ -20,13 +20,13 @@
 
 class IdleHandler:
     async def hello(self, entry, revision, fetch):
-        return Greeting("encoder-1", Load())
+        return HelloReply("encoder-1", Load())
 
     def load(self):
         return Load()
 
     def changes_since(self, revision):
-        return SettingsGap(0, ())
+        return SettingsDelta(0, ())
 
 
 def test_bytes_that_arrive_before_the_first_read_are_kept():
--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -14,7 +14,7 @@
     connect_sidecar,
     serve_sidecar,
 )
-from amaranthtally.wire.joiner import MAX_UNACKNOWLEDGED_CHARS, ChunkJoiner
+from amaranthtally.wire.chunk_batcher import MAX_UNACKNOWLEDGED_CHARS, ChunkBatcher
 from amaranthtally.wire.messages import StreamPart
 from amaranthtally.wire.streams import OpenStreams
 from tests.lifecycle.support import (
@@ -102,7 +102,7 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
+        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
         with joiner.open(1, call_id(1)) as one, joiner.open(2, call_id(2)) as two:
             await one.put(3, "a")
             await run_ready()
@@ -125,7 +125,7 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
+        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
         with joiner.open(1, call_id(1)) as chunks:
             await chunks.put(0, "a")
             await run_ready()
@@ -151,7 +151,7 @@
         entry = HeldEntry()
         if acknowledges:
             entry.let_go.set()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
+        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
         size = MAX_UNACKNOWLEDGED_CHARS // 4
 
         async def produce():
@@ -182,7 +182,7 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
+        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
         with joiner.open(1, call_id(1)) as gone:
             await gone.put(0, "a")
             await run_ready()
--- a/tests/lifecycle/support.py
+++ b/tests/lifecycle/support.py
@@ -13,9 +13,9 @@
 from amaranthtally.wire import (
     CallId,
     EntryConnections,
-    Greeting,
+    HelloReply,
     Load,
-    SettingsGap,
+    SettingsDelta,
     StageReply,
     Status,
     serve_sidecar,
@@ -49,15 +49,15 @@
         self.incarnation = secrets.randbits(32) | 1
 
     async def hello(self, entry, revision, fetch):
-        return Greeting(self.endpoint, self.load())
+        return HelloReply(self.endpoint, self.load())
 
     def load(self):
         return Load(incarnation=self.incarnation, limit=8)
 
     def changes_since(self, revision):
-        return SettingsGap(0, ())
+        return SettingsDelta(0, ())
 
-    def announced(self, revision, fetch):
+    def announce_revision(self, revision, fetch):
         return 0
 
     async def run(self, call, on_chunk):
--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -10,10 +10,10 @@
 
 from amaranthtally.daemon.sidecar.engine_orders import (
     EngineOrders,
-    Grant,
-    LeaseLapsedError,
+    LeaseExpiredError,
+    LeaseGrant,
 )
-from amaranthtally.daemon.sidecar.orders import RECONCILE_S, ModelOrders
+from amaranthtally.daemon.sidecar.model_reconciler import RECONCILE_S, ModelReconciler
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.policy.model_orders import Load
 from amaranthtally.settings import SidecarSettings
@@ -120,10 +120,10 @@
         ):
             (pair,) = deployment.endpoints.values()
             engine = EngineOrders(session, pair.service_url, clock=lambda: 100.0)
-            with pytest.raises(LeaseLapsedError):
-                await engine.give(Load("old"), Grant(1, until=101.0))
+            with pytest.raises(LeaseExpiredError):
+                await engine.give(Load("old"), LeaseGrant(1, until=101.0))
             assert await orders(deployment, pair) == []
-            await engine.give(Load("new"), Grant(2, until=103.0))
+            await engine.give(Load("new"), LeaseGrant(2, until=103.0))
             assert await orders(deployment, pair) == [(2, "new")]
 
     run_async(scenario())
@@ -193,7 +193,7 @@
         )
         async with aiohttp.ClientSession() as session:
             served = ServedModels(asyncio.get_running_loop().time)
-            orders = ModelOrders(settings, session, served, announce=None)
+            orders = ModelReconciler(settings, session, served, announce=None)
             for _ in range(2000):
                 wait_s = await orders._reconcile()
             assert wait_s == RECONCILE_S
--- a/tests/prefixes/test_digests.py
+++ b/tests/prefixes/test_digests.py
@@ -8,11 +8,11 @@
 from amaranthtally.daemon.lifecycle import serve_http
 from amaranthtally.daemon.prompts import cache_salt, prefix_blocks
 from amaranthtally.daemon.sidecar.engine_cache import EngineCache
-from amaranthtally.daemon.sidecar.prefix_digest import (
-    MOST_CHANGES,
-    MOST_TOLD,
+from amaranthtally.daemon.sidecar.prefix_cache_index import (
+    MAX_CHANGES,
+    MAX_UPDATE_BLOCKS,
     EngineEvent,
-    PrefixDigest,
+    PrefixCacheIndex,
 )
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.standins.engine import EngineStandIn
@@ -27,8 +27,8 @@
     """An entry that hears of one engine's cache through replies."""
 
     def __init__(self):
-        self.digest = PrefixDigest()
-        self.digest.note_prompt(NAMES, BLOCKS)
+        self.digest = PrefixCacheIndex()
+        self.digest.record_prompt(NAMES, BLOCKS)
         self.follower = CacheFollower()
         self.index = PrefixIndex()
 
@@ -36,7 +36,7 @@
         """Let a call and its reply pass; ``heard`` was sent with the call."""
         if heard is None:
             heard = self.follower.heard("engine")
-        self.take(self.digest.news(heard), incarnation)
+        self.take(self.digest.update_since(heard), incarnation)
 
     def take(self, news, incarnation=1):
         event = self.follower.take("engine", incarnation, news)
@@ -54,10 +54,10 @@
 
 def test_an_entry_hears_of_blocks_stored_and_removed():
     link = Link()
-    link.digest.take("first", stored(1, 2, 3))
+    link.digest.apply_events("first", stored(1, 2, 3))
     link.reply()
     assert link.believed() == [1, 2, 3]
-    link.digest.take("first", [EngineEvent(4, False, NAMES[1])])
+    link.digest.apply_events("first", [EngineEvent(4, False, NAMES[1])])
     link.reply()
     assert link.believed() == [1, 3]
 
@@ -68,9 +68,9 @@
     would go on to it, each paying the whole prompt, while an idle engine waits.
     """
     link = Link()
-    link.digest.take("first", stored(1, 2))
+    link.digest.apply_events("first", stored(1, 2))
     link.reply()
-    link.digest.take("first", stored(4))
+    link.digest.apply_events("first", stored(4))
     assert link.believed() == [1, 2]
     link.reply()
     assert link.believed() == [4]
@@ -82,12 +82,12 @@
     lives: the next reply must take back what entries believe.
     """
     link = Link()
-    link.digest.take("first", stored(1, 2, 3))
+    link.digest.apply_events("first", stored(1, 2, 3))
     link.reply()
-    link.digest.take("second", [])
+    link.digest.apply_events("second", [])
     link.reply()
     assert link.believed() == []
-    link.digest.take("second", stored(1))
+    link.digest.apply_events("second", stored(1))
     link.reply()
     assert link.believed() == [1]
 
@@ -98,11 +98,11 @@
     serials with the old ones would keep the old claims until they expire.
     """
     link = Link()
-    link.digest.take("first", stored(1, 2, 3))
+    link.digest.apply_events("first", stored(1, 2, 3))
     link.reply()
-    link.digest = PrefixDigest()
-    link.digest.note_prompt(NAMES, BLOCKS)
-    link.digest.take("first", stored(1))
+    link.digest = PrefixCacheIndex()
+    link.digest.record_prompt(NAMES, BLOCKS)
+    link.digest.apply_events("first", stored(1))
     link.reply(incarnation=2)
     assert link.believed() == [1]
 
@@ -113,10 +113,10 @@
     news, must not bring a removed block back.
     """
     link = Link()
-    link.digest.take("first", stored(1, 2))
-    early = link.digest.news(0)
-    link.digest.take("first", [EngineEvent(3, False, NAMES[0])])
-    link.take(link.digest.news(0))
+    link.digest.apply_events("first", stored(1, 2))
+    early = link.digest.update_since(0)
+    link.digest.apply_events("first", [EngineEvent(3, False, NAMES[0])])
+    link.take(link.digest.update_since(0))
     link.take(early)
     assert link.believed() == [2]
 
@@ -126,12 +126,12 @@
     An entry that was away for long would otherwise be sent all of it in a reply.
     """
     link = Link()
-    for serial in range(1, MOST_CHANGES + 2):
+    for serial in range(1, MAX_CHANGES + 2):
         name = NAMES[(serial - 1) % len(NAMES)]
-        link.digest.take("first", [EngineEvent(serial, True, name)])
-    news = link.digest.news(0)
+        link.digest.apply_events("first", [EngineEvent(serial, True, name)])
+    news = link.digest.update_since(0)
     assert news.reset
-    assert len(news.stored) + len(news.removed) <= MOST_TOLD
+    assert len(news.stored) + len(news.removed) <= MAX_UPDATE_BLOCKS
 
 
 def test_the_blocks_of_two_accounts_are_never_the_same():
@@ -162,15 +162,15 @@
         async with serve_http(first.application(), "127.0.0.1:0", 0.1) as port:
             url = f"http://127.0.0.1:{port}"
             cache = EngineCache(session, url)
-            following = asyncio.create_task(cache.follow())
-            cache.note_prompt("one", TEXT)
+            following = asyncio.create_task(cache.follow_events())
+            cache.record_prompt("one", TEXT)
             await complete(session, url, TEXT)
             await until(lambda: len(cache) == len(TEXT) // 64)
             known = cache.epoch
         async with serve_http(second.application(), f"127.0.0.1:{port}", 0.1):
             await until(lambda: cache.epoch != known)
             assert len(cache) == 0
-            assert cache.news(cache.news(0).serial - 1).reset
+            assert cache.update_since(cache.update_since(0).serial - 1).reset
         following.cancel()
 
 
--- a/tests/unit/test_belief_copy.py
+++ b/tests/unit/test_belief_copy.py
@@ -7,7 +7,7 @@
 from amaranthtally.daemon.gateway.belief_exchange import BeliefExchange
 from amaranthtally.wire import PeerLostError
 from amaranthtally.wire.documents import Document, DocumentSnapshots
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 from tests.support import run_async
 
 CONTENT = random.Random(7).randbytes(100_000)
@@ -57,7 +57,7 @@
         self.most_at_once = max(self.most_at_once, self.at_once)
         await asyncio.sleep(0.001)
         self.at_once -= 1
-        return self.snapshots[request.document].part(request)
+        return self.snapshots[request.document].read_part(request)
 
 
 def test_one_copy_runs_at_a_time_however_many_peers_have_news():
@@ -162,7 +162,7 @@
 
         async def greet(self, peer, versions):
             self.greeted += 1
-            return Greeting(NEWER)
+            return GatewayStatus(NEWER)
 
     async def check():
         links, keeper, brought = GreetedLinks(), Keeper(), []
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -3,11 +3,11 @@
 import pytest
 
 from amaranthtally.wire import (
-    CacheNews,
+    AtMostOnceTerms,
+    CacheUpdate,
     CallId,
     Load,
     ModelState,
-    OnceTerms,
     StageCall,
     StageReply,
     Status,
@@ -43,7 +43,7 @@
     input=b"",
     remaining_s=0.25,
     repeatable=False,
-    terms=OnceTerms(1 << 62, 12.5, 3, "digest"),
+    terms=AtMostOnceTerms(1 << 62, 12.5, 3, "digest"),
     call_key="order-1",
 )
 
@@ -59,7 +59,7 @@
 def test_a_reply_is_read_as_it_was_written(status):
     models = ModelState(frozenset({"drafts@2", "drafts"}), "decode", "unloaded")
     load = Load(1 << 62, 1, 2, 3, True, 0.5, 0.25, 1 << 40, 8.125, models)
-    news = CacheNews(1 << 33, (1, 1 << 63), (2,), True)
+    news = CacheUpdate(1 << 33, (1, 1 << 63), (2,), True)
     reply = StageReply(ID, status, b"1", "why", 0.5, load, 0.125, 2.5, True, 6, news)
     target = schema.StageReply.new_message()
     write_reply(target, reply)
--- a/tests/unit/test_documents.py
+++ b/tests/unit/test_documents.py
@@ -32,9 +32,9 @@
 
 def read_from(snapshots, reader, parts=1_000):
     for _ in range(parts):
-        if reader.is_whole:
+        if reader.is_complete:
             break
-        reader.add(snapshots.part(reader.next_request()))
+        reader.add(snapshots.read_part(reader.next_request()))
 
 
 def new_reader():
@@ -46,7 +46,7 @@
     read_from(snapshots, reader)
     assert reader.version == 3
     assert reader.content() == content(3)
-    first = snapshots.part(PartRequest(Document.CONFIGURATION))
+    first = snapshots.read_part(PartRequest(Document.CONFIGURATION))
     assert len(first.data) == PART_BYTES
 
 
@@ -85,7 +85,7 @@
 
 def test_a_damaged_part_is_refused():
     snapshots, reader = snapshots_of(3), new_reader()
-    part = snapshots.part(reader.next_request())
+    part = snapshots.read_part(reader.next_request())
     reader.add(replace(part, data=bytes(len(part.data))))
     read_from(snapshots, reader)
     with pytest.raises(MalformedDocumentError):
@@ -93,7 +93,9 @@
 
 
 def test_a_peer_without_a_document_says_so():
-    assert DocumentSnapshots().part(PartRequest(Document.RECORDS)) == DocumentPart()
+    assert (
+        DocumentSnapshots().read_part(PartRequest(Document.RECORDS)) == DocumentPart()
+    )
 
 
 def test_records_survive_the_way():
--- a/tests/unit/test_settings_sync.py
+++ b/tests/unit/test_settings_sync.py
@@ -4,7 +4,7 @@
 
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.daemon.settings_sync import SIDECAR_LINKS, SettingsSync
-from amaranthtally.wire import SettingsGap
+from amaranthtally.wire import SettingsDelta
 from tests.support import run_async
 
 
@@ -20,7 +20,7 @@
             running += 1
             at_once.append(running)
             await asyncio.sleep(10.0)
-            return SettingsGap(0, (), b"")
+            return SettingsDelta(0, (), b"")
 
         sync = SettingsSync("one", SettingsState(), SIDECAR_LINKS)
         for revision in range(1, 25):
