--- a/packages/wire/src/amaranthtally/wire/messages.py
+++ b/packages/wire/src/amaranthtally/wire/messages.py
@@ -77,12 +77,12 @@
     """
     A sidecar's state, sent with every reply.
 
-    ``service_s`` is the smoothed time the endpoint takes for one call and
-    ``backlog_s`` the predicted wait of a new call, both in seconds.
-    ``incarnation`` is drawn anew at each start of the sidecar; ``clock_s`` is the
-    time on that incarnation's own clock. ``models`` is ``None`` where any model is
-    answered. ``ended_calls`` is not sent: an entry counts there the calls of its own that
-    this load came with the replies of.
+    ``service_s`` is the smoothed service time of a call at the endpoint and
+    ``backlog_s`` the predicted queueing delay of a new call, both in seconds.
+    ``incarnation`` is a random number drawn at each start of the sidecar; ``clock_s``
+    is the number of seconds since that start. ``models`` is ``None`` if the endpoint
+    accepts calls for any model. ``ended_calls`` is not sent: an entry sets it locally
+    to the number of its own calls whose replies carried this load.
     """
 
     incarnation: int = 0
