--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -7,7 +7,7 @@
 
 import capnp
 
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire.documents import DocumentPart, PartRequest
 from amaranthtally.wire.errors import PeerLostError
 from amaranthtally.wire.gateway_codec import (
@@ -42,10 +42,10 @@
     def read_part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
 
-    def submit_jobs(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def submit_jobs(self, asker: str, asks: Sequence[PieceJob]) -> None:
         """Take pieces that a peer wants made."""
 
-    def report_outcomes(self, told: Sequence[PieceTold]) -> None:
+    def report_outcomes(self, told: Sequence[PieceReport]) -> None:
         """Hear what became of pieces."""
 
     def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
@@ -91,7 +91,7 @@
         return read_part(await self._send(sent))
 
     async def submit_jobs(
-        self, asker: str, asks: Sequence[PieceAsk], now: float
+        self, asker: str, asks: Sequence[PieceJob], now: float
     ) -> None:
         """Ask for pieces."""
         request = self._gateway.ask_request()
@@ -99,7 +99,7 @@
         write_asks(request, asks, now)
         await self._send(request)
 
-    async def report_outcomes(self, told: Sequence[PieceTold]) -> None:
+    async def report_outcomes(self, told: Sequence[PieceReport]) -> None:
         """Tell what became of pieces."""
         request = self._gateway.tell_request()
         write_told(request, told)
