--- a/packages/policy/src/amaranthtally/policy/stage_times.py
+++ b/packages/policy/src/amaranthtally/policy/stage_times.py
@@ -5,7 +5,7 @@
 
 from amaranthtally.policy.model import Stage
 from amaranthtally.policy.quantiles import TimeSketch
-from amaranthtally.policy.slopes import FadingSlope
+from amaranthtally.policy.regression import DecayingRegression
 
 __all__ = ["StageStats", "StageTimes"]
 
@@ -78,8 +78,8 @@
         self._chunk_times = TimeSketch()
         self._chunk_time_s = 0.0
         self._chunks_until_refresh = int(MIN_SAMPLES)
-        self._crowding = FadingSlope(CROWDING_PRIOR_VARIANCE)
-        self._saving = FadingSlope(SAVING_PRIOR_VARIANCE)
+        self._crowding = DecayingRegression(CROWDING_PRIOR_VARIANCE)
+        self._saving = DecayingRegression(SAVING_PRIOR_VARIANCE)
         self._has_samples = False
         self._mean_concurrency = 0.0
         self._peak_concurrency = 0.0
