--- a/packages/policy/src/amaranthtally/policy/routing.py
+++ b/packages/policy/src/amaranthtally/policy/routing.py
@@ -60,7 +60,7 @@
     def configure(
         self, region: str, remote_latency_s: float, price_per_gb: float
     ) -> None:
-        """Set the entry's region, and one-way latency in seconds and price to others."""
+        """Set the region, the one-way latency to others in seconds, and the price."""
         self._region = region
         self._remote_latency_s = remote_latency_s
         self._network = NetworkCosts(region, price_per_gb, self.round_trip_s)
