--- a/tests/prefixes/test_routing.py
+++ b/tests/prefixes/test_routing.py
@@ -1,4 +1,4 @@
-"""Prompts go to the engines that hold their beginning; real processes."""
+"""Routing of prompts to the engines that cache their prefix, with real processes."""
 
 import asyncio
 import itertools
@@ -14,8 +14,8 @@
 THREADS = 8
 BLOCK_CHARS = 64
 BLOCKS = 10
-MOSTLY = 0.6
-CLAIMED = re.compile(
+MIN_CACHED_SHARE = 0.6
+KNOWN_BLOCKS_METRIC = re.compile(
     r"^amaranthtally_prefix_blocks(?:{.*})? ([0-9.e+]+)$", re.MULTILINE
 )
 PIPELINE = "summary"
@@ -23,7 +23,7 @@
 
 
 def small_plan(engines):
-    """Return a plan of one region and one stage, run by so many engines."""
+    """Return a plan of one region and one stage with this number of engines."""
     return msgspec.structs.replace(
         plan(),
         regions=plan().regions[:1],
@@ -46,7 +46,7 @@
 
 
 def thread(number):
-    """Return a text of whole blocks that begins like no other."""
+    """Return a text of complete blocks that shares no prefix with other threads."""
     return (f"thread {number}: " + "crash at level " * 50)[: BLOCK_CHARS * BLOCKS]
 
 
@@ -56,7 +56,7 @@
 
 
 async def cached_blocks(deployment):
-    """Return the blocks that the engines have served from cache so far."""
+    """Return the number of blocks that the engines have served from their caches."""
     records = [
         record
         for pair in deployment.pool("engines")
@@ -65,14 +65,14 @@
     return sum(record["cached_blocks"] for record in records)
 
 
-async def claimed_blocks(deployment):
-    """Return the blocks that the sidecars take their engines to hold."""
+async def known_blocks(deployment):
+    """Return the number of cached blocks that the sidecars know of."""
     total = 0
     for pair in deployment.pool("engines"):
         url = f"http://127.0.0.1:{pair.sidecar.ports['http']}/metrics"
         async with deployment.http.get(url) as response:
-            found = CLAIMED.search(await response.text())
-            total += int(float(found.group(1))) if found else 0
+            match = KNOWN_BLOCKS_METRIC.search(await response.text())
+            total += int(float(match.group(1))) if match else 0
     return total
 
 
@@ -81,10 +81,10 @@
     return [len(await deployment.records(pair.service)) for pair in pairs]
 
 
-def test_a_growing_thread_goes_back_to_its_engine():
+def test_a_growing_thread_returns_to_its_engine():
     """
-    A studio's crash thread grows and is summarised anew at each post. Sent to any
-    engine, each time the whole thread is read anew and the summary is late.
+    A discussion thread grows and is summarised anew after each post. If it was sent to
+    any engine, the whole thread would be prefilled each time, and the summary be late.
     """
     run_async(grow_threads())
 
@@ -97,42 +97,45 @@
             for number in range(THREADS):
                 await send(deployment, thread(number) + f" post {post}")
         repeated = 3 * THREADS * BLOCKS
-        assert await cached_blocks(deployment) >= MOSTLY * repeated
+        assert await cached_blocks(deployment) >= MIN_CACHED_SHARE * repeated
 
 
-def test_another_entry_learns_which_engine_holds_a_thread():
+def test_another_entry_learns_which_engine_caches_a_thread():
     """
-    Threads came through one entry and go on through another, as the balancer likes.
-    That one ran none of them: it knows only what the sidecars tell of their engines.
+    A load balancer may send the later requests of a thread through another entry. That
+    entry has run none of them and depends on the cache updates from the sidecars.
     """
-    run_async(go_on_through_another_entry())
+    run_async(continue_at_another_entry())
 
 
-async def go_on_through_another_entry():
+async def continue_at_another_entry():
     async with engines_deployment(ENGINES, entries=2) as deployment:
         for number in range(THREADS):
             await send(deployment, thread(number), entry=0)
-        while await claimed_blocks(deployment) < THREADS * BLOCKS:
+        while await known_blocks(deployment) < THREADS * BLOCKS:
             await asyncio.sleep(0.02)
-        # Other threads, whose replies bring the news. They take as long as the ones
-        # to come: after short texts a thread's first run would pass for a slow engine.
+        # Requests of other threads, whose replies carry the cache updates. Their runs
+        # are as long as those that follow: after short ones, the first run of a thread
+        # would make its engine appear slow.
         before = await calls_by_engine(deployment)
         others = itertools.count(THREADS)
         while any(
-            now == then
-            for now, then in zip(await calls_by_engine(deployment), before, strict=True)
+            count == old_count
+            for count, old_count in zip(
+                await calls_by_engine(deployment), before, strict=True
+            )
         ):
             await send(deployment, thread(next(others)), entry=1)
         assert await cached_blocks(deployment) == 0
         for number in range(THREADS):
             await send(deployment, thread(number), entry=1)
-        assert await cached_blocks(deployment) >= MOSTLY * THREADS * BLOCKS
+        assert await cached_blocks(deployment) >= MIN_CACHED_SHARE * THREADS * BLOCKS
 
 
-def test_one_account_never_finds_the_other_ones_text_cached():
+def test_no_account_uses_the_cached_text_of_another():
     """
-    Two accounts send the same text to the one engine. If the second found it cached,
-    it would learn by the time to its first token that the first had sent it.
+    Two accounts send the same text to one engine. If the second used the cached text,
+    the time to its first token would reveal that the first had sent it.
     """
     run_async(send_from_two_accounts())
 
@@ -146,10 +149,10 @@
         assert await cached_blocks(deployment) == BLOCKS
 
 
-def test_a_stale_claim_costs_no_answer():
+def test_requests_are_answered_after_the_engines_lost_their_caches():
     """
-    The engines die and come back empty at their old addresses. The entry still
-    takes them to hold the threads; each must be answered all the same.
+    The engines are killed and restart with empty caches at their old addresses. The
+    entry still assumes that they cache the threads; each request must be answered.
     """
     run_async(restart_the_engines())
 
