--- a/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
@@ -13,7 +13,7 @@
     Send,
     Stage,
 )
-from amaranthtally.wire import CallId, OnceTerms, StageCall, StageReply, Status
+from amaranthtally.wire import AtMostOnceTerms, CallId, StageCall, StageReply, Status
 
 __all__ = ["EndedStage", "build_call", "read_reply", "stage_record"]
 
@@ -59,7 +59,7 @@
     """
     attempt = send.attempt
     stage = request.arrival.pipeline.stages[attempt.stage]
-    call_key, terms = "", OnceTerms()
+    call_key, terms = "", AtMostOnceTerms()
     if not stage.repeatable:
         assert request.bound is not None
         binding = request.bound.binding(attempt.stage, stage)
--- a/packages/policy/src/amaranthtally/policy/__init__.py
+++ b/packages/policy/src/amaranthtally/policy/__init__.py
@@ -50,11 +50,11 @@
     Stage,
 )
 from amaranthtally.policy.model_orders import (
+    DesiredModels,
     EngineModels,
     ModelPlan,
-    ModelUse,
-    WantedModels,
-    plan_orders,
+    ModelUsage,
+    plan_model_orders,
 )
 from amaranthtally.policy.peer_directory import PeerDirectory, PeerRecord
 from amaranthtally.policy.piece_coordinator import PieceCoordinator
@@ -103,6 +103,7 @@
     "CallerLimits",
     "Cancel",
     "Counters",
+    "DesiredModels",
     "Endpoint",
     "EndpointDirectory",
     "EngineLimits",
@@ -112,7 +113,7 @@
     "InvariantError",
     "LoadReport",
     "ModelPlan",
-    "ModelUse",
+    "ModelUsage",
     "Peer",
     "PeerDirectory",
     "PeerRecord",
@@ -147,10 +148,9 @@
     "Stage",
     "StoredResult",
     "SubmitToPeer",
-    "WantedModels",
     "WeightedPool",
     "gateway_settings",
-    "plan_orders",
+    "plan_model_orders",
     "request_rank",
     "route_arrival",
     "route_pipeline",
--- a/tests/at_most_once/test_ledger.py
+++ b/tests/at_most_once/test_ledger.py
@@ -18,7 +18,7 @@
     CallVerdict,
 )
 from amaranthtally.policy.handover import HandedOverCall, Handover, ReceivedHandovers
-from amaranthtally.wire import OnceTerms
+from amaranthtally.wire import AtMostOnceTerms
 
 INCARNATION = 7
 CAPACITY = 3
@@ -31,7 +31,7 @@
     """A call on its way, sent at the ``order``-th step."""
 
     key: str
-    terms: OnceTerms
+    terms: AtMostOnceTerms
     order: int
 
 
@@ -66,7 +66,7 @@
         key, issued = token
         self.order += 1
         permit = self.ledger.permit(key)
-        terms = OnceTerms(INCARNATION, issued, permit, fingerprint)
+        terms = AtMostOnceTerms(INCARNATION, issued, permit, fingerprint)
         return Copy(key, terms, self.order)
 
     @rule(target=running, copy=copies)
@@ -139,7 +139,7 @@
     ledger = CallLedger(INCARNATION, 2, TTL_S)
 
     def terms(issued):
-        return OnceTerms(INCARNATION, issued, 0, "a")
+        return AtMostOnceTerms(INCARNATION, issued, 0, "a")
 
     assert ledger.open(0.0, "one", terms(0.0)) is CallVerdict.FRESH
     assert ledger.open(0.0, "two", terms(0.0)) is CallVerdict.FRESH
