--- a/tests/policy/test_request_inputs.py
+++ b/tests/policy/test_request_inputs.py
@@ -19,7 +19,7 @@
 def sent_with_inputs(driver):
     """Return the first attempt of a request whose one piece was made at ``NOW``."""
     work = PieceWork((PieceStage("catalogue", (), 8e3),), (1,), "key")
-    driver.arrive(NOW - 0.5, piece_piece_piece_work=work)
+    driver.arrive(NOW - 0.5, piece_work=work)
     (call,) = [a for a in driver.planner.tick(NOW - 0.4) if isinstance(a, RunPieces)]
     made = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
     (send,) = sends(driver.take(driver.planner.pieces_ended(NOW, call.call, made)))
