--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -89,11 +89,11 @@
 
     def submit_jobs(self, asker: str, asks: Sequence[PieceJob]) -> None:
         """Take pieces that a peer wants made."""
-        self._executor.pieces_asked(asker, asks)
+        self._executor.jobs_submitted(asker, asks)
 
     def report_outcomes(self, told: Sequence[PieceReport]) -> None:
         """Hear what became of pieces."""
-        self._executor.pieces_told(told)
+        self._executor.reports_received(told)
 
     def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
         """Hear that results are read no more, and of a request that has ended."""
--- a/packages/policy/src/amaranthtally/policy/batcher_effects.py
+++ b/packages/policy/src/amaranthtally/policy/batcher_effects.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from amaranthtally.policy.actions import Action, PieceOrder
+from amaranthtally.policy.actions import Action, PieceSpec
 from amaranthtally.policy.piece_graph import StoredResult
 from amaranthtally.policy.piece_messages import PieceJob, PieceReport, PiecesEnded
 
@@ -38,9 +38,9 @@
     complete_requests: frozenset[str]
 
 
-def piece_order(job: PieceJob) -> PieceOrder:
+def piece_order(job: PieceJob) -> PieceSpec:
     """Return the order that an endpoint is sent for a job."""
-    return PieceOrder(
+    return PieceSpec(
         job.piece.request_id,
         job.piece.stage,
         job.piece.number,
--- a/packages/policy/src/amaranthtally/policy/call_filling.py
+++ b/packages/policy/src/amaranthtally/policy/call_filling.py
@@ -4,7 +4,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from amaranthtally.policy.actions import CallFacts
+from amaranthtally.policy.actions import CallDetails
 from amaranthtally.policy.piece_queue import QueuedPiece, group_by_part, take_fitting
 from amaranthtally.policy.routes import PieceLimits
 
@@ -30,7 +30,7 @@
     """The pieces chosen for a call, and the figures that the choice was based on."""
 
     pieces: tuple[QueuedPiece, ...]
-    facts: CallFacts
+    details: CallDetails
 
 
 FillCall = Callable[[float, list[QueuedPiece], PieceLimits, float], CallFill]
@@ -50,7 +50,9 @@
     free_bytes = memory_bytes
     chosen: list[QueuedPiece] = []
     groups = group_by_part(queue, limits)
-    groups.sort(key=lambda group: min(q.urgency(now, limits.share_s) for q in group))
+    groups.sort(
+        key=lambda group: min(q.urgency(now, limits.piece_share_s) for q in group)
+    )
     for group in groups:
         result_bytes = sum(queued.job.result_bytes for queued in group)
         if len(group) <= free_places and result_bytes <= free_bytes:
@@ -58,14 +60,14 @@
             free_places -= len(group)
             free_bytes -= result_bytes
     chosen = chosen or take_fitting(groups[0], free_places, free_bytes)
-    facts = CallFacts(
+    details = CallDetails(
         limits.batch,
         len(queue),
         max((now - queued.queued_at for queued in chosen), default=0.0),
         memory_bytes,
         _shortage(groups, chosen, limits.batch).value,
     )
-    return CallFill(tuple(chosen), facts)
+    return CallFill(tuple(chosen), details)
 
 
 def _shortage(
