--- a/packages/daemon/src/amaranthtally/daemon/entry/heartbeat.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/heartbeat.py
@@ -27,7 +27,7 @@
     """
     while True:
         await asyncio.sleep(INTERVAL_S)
-        if not client.calls:
+        if not client.pending_calls:
             continue
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -39,7 +39,7 @@
                 "sidecar_silent",
                 endpoint=endpoint,
                 address=client.peer,
-                calls=client.calls,
+                calls=client.pending_calls,
             )
             client.close()
             return
--- a/packages/daemon/src/amaranthtally/daemon/entry/peers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/peers.py
@@ -93,7 +93,7 @@
         except TimeoutError as error:
             raise PeerLostError(endpoint.address, "no answer in time") from error
         self.note_load(endpoint.id, load)
-        if load.leaving and not client.calls:
+        if load.leaving and not client.pending_calls:
             client.close()
 
     async def close(self) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
@@ -73,9 +73,9 @@
 
     async def _linger(self) -> None:
         for _ in range(int(LINGER_S / POLL_S)):
-            if not self._connections.greeted_entries:
+            if not self._connections.entry_count:
                 return
             await asyncio.sleep(POLL_S)
 
     async def _announce(self) -> None:
-        await self._connections.announce(self._handler.load())
+        await self._connections.announce_load(self._handler.load())
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
@@ -68,7 +68,7 @@
 
     async def announce(self) -> None:
         """Tell greeted entries of the load."""
-        await self.connections.announce(self.handler.load())
+        await self.connections.announce_load(self.handler.load())
 
     async def give_records(self, final: bool) -> None:
         """Hand the records of effects to peers."""
--- a/packages/wire/src/amaranthtally/wire/__init__.py
+++ b/packages/wire/src/amaranthtally/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Inner protocol between entries and sidecars: messages, codec, client, server."""
+"""Protocol between entries and sidecars: messages, codec, client and server."""
 
 from amaranthtally.wire.client import SidecarClient, connect_sidecar
 from amaranthtally.wire.connections import EntryConnections
--- a/packages/wire/src/amaranthtally/wire/client.py
+++ b/packages/wire/src/amaranthtally/wire/client.py
@@ -1,4 +1,4 @@
-"""Client side of the inner protocol, run by an entry."""
+"""Client side of the sidecar protocol, used by entries and by other sidecars."""
 
 import asyncio
 from contextlib import suppress
@@ -40,15 +40,15 @@
 
 class SidecarClient:
     """
-    One connection to one sidecar.
+    A connection to a sidecar.
 
-    Every method raises ``PeerLostError`` when the connection ends.
+    Every request raises ``PeerLostError`` if the connection ends before the reply.
     """
 
     def __init__(self, peer: str, stream: Any) -> None:
         self._peer = peer
         self._stream = stream
-        self._calls = 0
+        self._pending_calls = 0
         self._streams = OpenStreams(peer)
         self._client = capnp.TwoPartyClient(stream)
         self._sidecar = self._client.bootstrap().cast_as(schema.Sidecar)
@@ -59,9 +59,9 @@
         return self._peer
 
     @property
-    def calls(self) -> int:
-        """Calls about stages that wait for their reply."""
-        return self._calls
+    def pending_calls(self) -> int:
+        """Number of ``run`` and ``query_outcome`` requests that await their reply."""
+        return self._pending_calls
 
     async def hello(
         self,
@@ -71,25 +71,27 @@
         on_load: LoadHandler | None = None,
     ) -> HelloReply:
         """
-        Greet the sidecar and let it read the settings of ``source``.
+        Introduce this entry and let the sidecar read the settings of ``source``.
 
-        ``on_load`` receives the load when the sidecar tells it unasked.
+        ``on_load`` receives each load that the sidecar pushes.
         """
-        answer = await self._guard(
+        response = await self._guard(
             self._sidecar.hello(
                 entry=entry,
                 revision=revision,
-                settings=entry_server(source, on_load or _no_load, self._streams),
+                settings=entry_server(source, on_load or _ignore_load, self._streams),
             )
         )
-        return HelloReply(answer.endpoint, read_load(answer.load))
+        return HelloReply(response.endpoint, read_load(response.load))
 
     async def run(self, call: StageCall, on_chunks: ChunksHandler | None) -> StageReply:
         """
         Run a stage. Cancelling the task cancels the call at the sidecar.
 
-        Chunks come through ``hello``'s capability: greet the sidecar first. Raises
-        ``ReplyMismatchError`` for a reply or a chunk of another call.
+        The sidecar sends chunks through the capability that it got from ``hello``, so
+        ``hello`` must come first. Raises ``ReplyMismatchError`` if the reply or a
+        chunk belongs to another call, and ``ChunkRefusedError`` if ``on_chunks``
+        raised an exception.
         """
         request = self._sidecar.run_request()
         write_call(request.call, call)
@@ -102,62 +104,62 @@
             return reply
 
     async def _run(self, call_id: CallId, request: Any) -> StageReply:
-        self._calls += 1
+        self._pending_calls += 1
         try:
-            answer = await self._guard(request.send())
+            response = await self._guard(request.send())
         finally:
-            self._calls -= 1
-        return self._check(call_id, read_reply(answer.reply))
+            self._pending_calls -= 1
+        return self._check(call_id, read_reply(response.reply))
 
     async def cancel(self, call_id: CallId) -> StageReply:
-        """Cancel a call and say whether it had started."""
+        """Cancel a call; the reply is ``NOT_RUN`` if it had not started."""
         request = self._sidecar.cancel_request()
         write_call_id(request.id, call_id)
-        answer = await self._guard(request.send())
-        return self._check(call_id, read_reply(answer.reply))
+        response = await self._guard(request.send())
+        return self._check(call_id, read_reply(response.reply))
 
     async def query_outcome(
         self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
-        """Ask what became of a call that may not be repeated."""
+        """Query the outcome of an at-most-once call."""
         request = self._sidecar.inquire_request()
         request.callKey = call_key
         write_terms(request.terms, terms)
         request.inquiry = inquiry.value
-        self._calls += 1
+        self._pending_calls += 1
         try:
-            answer = await self._guard(request.send())
+            response = await self._guard(request.send())
         finally:
-            self._calls -= 1
-        return read_reply(answer.reply)
+            self._pending_calls -= 1
+        return read_reply(response.reply)
 
     async def hand_over(self, body: bytes, signature: bytes) -> bool:
-        """Hand over signed records; false where the sidecar does not keep them."""
-        answer = await self._guard(
+        """Hand over signed records; return whether the sidecar stored them."""
+        response = await self._guard(
             self._sidecar.handOver(body=body, signature=signature)
         )
-        return bool(answer.taken)
+        return bool(response.taken)
 
     async def load(self) -> Load:
         """Read the sidecar's load."""
-        answer = await self._guard(self._sidecar.load())
-        return read_load(answer.load)
+        response = await self._guard(self._sidecar.load())
+        return read_load(response.load)
 
     async def changes_since(self, revision: int) -> SettingsDelta:
-        """Read the settings changes that the sidecar has after ``revision``."""
+        """Read the sidecar's settings changes after ``revision``."""
         return read_settings_delta(
             await self._guard(self._sidecar.changesSince(revision))
         )
 
     async def announce_revision(self, revision: int, source: SettingsSource) -> int:
-        """Tell the sidecar a revision that ``source`` has; return the sidecar's."""
-        answer = await self._guard(
+        """Announce the revision of ``source``; return the sidecar's revision."""
+        response = await self._guard(
             self._sidecar.announce(revision=revision, source=settings_server(source))
         )
-        return int(answer.revision)
+        return int(response.revision)
 
     async def disconnected(self) -> None:
-        """Return when the connection has ended."""
+        """Wait until the connection has ended."""
         with suppress(capnp.KjException):
             await self._client.on_disconnect()
 
@@ -166,8 +168,8 @@
         self._stream.close()
 
     def _check(self, call_id: CallId, reply: StageReply) -> StageReply:
-        # A peer that mixes up its calls would hand one caller's result to another.
-        # It shows as a reply whose id is not the call's; such a reply is not used.
+        # A sidecar that confuses its calls would give one caller's result to another.
+        # The id in the reply detects this; a reply with another id is not used.
         if reply.id != call_id:
             raise ReplyMismatchError(self._peer, call_id, reply.id)
         return reply
@@ -176,14 +178,14 @@
         try:
             return await promise
         except capnp.KjException as error:
-            raise PeerLostError(self._peer, _short(error)) from error
+            raise PeerLostError(self._peer, _first_line(error)) from error
 
 
 async def connect_sidecar(host: str, port: int, timeout: float) -> SidecarClient:
     """
     Connect to a sidecar; must run inside ``capnp.kj_loop()``.
 
-    Raises ``PeerLostError`` when it does not answer within ``timeout`` seconds.
+    Raises ``PeerLostError`` if no connection is made within ``timeout`` seconds.
     """
     peer = f"{host}:{port}"
     try:
@@ -194,9 +196,9 @@
     return SidecarClient(peer, stream)
 
 
-def _no_load(load: Load) -> None:
-    """Drop news of a sidecar's load."""
+def _ignore_load(load: Load) -> None:
+    """Discard a load that the sidecar pushes."""
 
 
-def _short(error: Exception) -> str:
+def _first_line(error: Exception) -> str:
     return str(error).splitlines()[0]
--- a/packages/wire/src/amaranthtally/wire/codec.py
+++ b/packages/wire/src/amaranthtally/wire/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between typed messages and Cap'n Proto structs."""
+"""Conversion between the sidecar protocol's messages and Cap'n Proto structs."""
 
 from typing import Any
 
@@ -51,15 +51,15 @@
 
 
 def read_call_id(source: Any) -> CallId:
-    """Return the call id held by a reader."""
+    """Decode a ``CallId`` reader."""
     return CallId(*read_fields(source, _CALL_ID))
 
 
-# Terms of calls that may not be repeated
+# Terms of at-most-once calls
 
 
 def write_terms(target: Any, terms: AtMostOnceTerms) -> None:
-    """Fill an ``AtMostOnceTerms`` builder."""
+    """Fill an ``OnceTerms`` builder."""
     target.incarnation = terms.incarnation
     target.issuedMicros = to_micros(terms.issued_s)
     target.permit = terms.permit
@@ -78,7 +78,7 @@
 
 
 def read_terms(source: Any) -> AtMostOnceTerms:
-    """Return the terms held by a reader."""
+    """Decode an ``OnceTerms`` reader."""
     incarnation, issued_micros, permit, fingerprint, expires_micros = read_fields(
         source, _TERMS
     )
@@ -128,16 +128,16 @@
     "revision",
     "cacheSerial",
 )
-_CALL_ONCE = fields_of(schema.StageCall, "terms", "callKey")
+_AT_MOST_ONCE = fields_of(schema.StageCall, "terms", "callKey")
 
 
 def read_call(source: Any) -> StageCall:
-    """Return the stage call held by a reader."""
+    """Decode a ``StageCall`` reader."""
     (
         call_id,
         account,
         stage_name,
-        body,
+        input_data,
         remaining_micros,
         priority,
         repeatable,
@@ -149,13 +149,13 @@
     ) = read_fields(source, _CALL)
     terms, call_key = AtMostOnceTerms(), ""
     if not repeatable:
-        found, call_key = read_fields(source, _CALL_ONCE)
-        terms = read_terms(found)
+        terms_reader, call_key = read_fields(source, _AT_MOST_ONCE)
+        terms = read_terms(terms_reader)
     return StageCall(
         id=read_call_id(call_id),
         account=account,
         stage_name=stage_name,
-        input=bytes(body),
+        input=bytes(input_data),
         remaining_s=to_seconds(remaining_micros),
         priority=priority,
         repeatable=repeatable,
@@ -203,7 +203,7 @@
 
 
 def read_reply(source: Any) -> StageReply:
-    """Return the stage reply held by a reader."""
+    """Decode a ``StageReply`` reader."""
     (
         call_id,
         status,
--- a/packages/wire/src/amaranthtally/wire/connections.py
+++ b/packages/wire/src/amaranthtally/wire/connections.py
@@ -1,4 +1,4 @@
-"""The entries connected to a sidecar, and news for all of them at once."""
+"""A sidecar's open connections, and load announcements to the connected entries."""
 
 import asyncio
 from contextlib import suppress
@@ -15,41 +15,41 @@
 
 
 class EntryConnections:
-    """Keeps the capability of each entry that greeted, while its connection is open."""
+    """Open connections, with the capability of each entry that has sent ``hello``."""
 
     def __init__(self) -> None:
         self._open: dict[object, Any] = {}
 
     @property
-    def greeted_entries(self) -> int:
-        """Open connections of entries; other peers only ask for settings."""
+    def entry_count(self) -> int:
+        """Number of connected entries; peers that have not sent ``hello`` don't count."""
         return sum(entry is not None for entry in self._open.values())
 
-    def opened(self, connection: object) -> None:
-        """Note an open connection."""
+    def connection_opened(self, connection: object) -> None:
+        """Add a connection whose peer has not sent ``hello``."""
         self._open[connection] = None
 
-    def greeted(self, connection: object, entry: Any) -> None:
-        """Keep the entry's capability."""
+    def hello_received(self, connection: object, entry: Any) -> None:
+        """Store the capability of the entry at the other end of a connection."""
         if connection in self._open:
             self._open[connection] = entry
 
-    def closed(self, connection: object) -> None:
-        """Forget a connection."""
+    def connection_closed(self, connection: object) -> None:
+        """Remove a connection."""
         self._open.pop(connection, None)
 
-    async def announce(self, load: Load) -> None:
-        """Tell every greeted entry of the load; one that hangs is not waited for."""
-        told = [
-            self._tell(entry, load)
+    async def announce_load(self, load: Load) -> None:
+        """Send the load to every entry; give up on slow ones after the time-out."""
+        sends = [
+            self._send_load(entry, load)
             for entry in self._open.values()
             if entry is not None
         ]
         with suppress(TimeoutError):
             async with asyncio.timeout(ANNOUNCE_TIMEOUT_S):
-                await asyncio.gather(*told)
+                await asyncio.gather(*sends)
 
-    async def _tell(self, entry: Any, load: Load) -> None:
+    async def _send_load(self, entry: Any, load: Load) -> None:
         request = entry.loadChanged_request()
         write_load(request.load, load)
         with suppress(capnp.KjException):
--- a/packages/wire/src/amaranthtally/wire/errors.py
+++ b/packages/wire/src/amaranthtally/wire/errors.py
@@ -1,48 +1,48 @@
-"""Errors of the inner protocol."""
+"""Errors of the protocols between entries, sidecars and gateways."""
 
 __all__ = ["ChunkRefusedError", "PeerLostError", "ReplyMismatchError", "WireError"]
 
 
 class WireError(Exception):
-    """A call between two of the system's processes did not complete."""
+    """Base class: a call between two processes of the system did not complete."""
 
 
 class PeerLostError(WireError):
     """
-    The connection to a peer ended, or could not be made.
+    The connection to a peer ended or could not be established.
 
-    A call that was in flight may have run: ask the same incarnation what became
-    of it, or answer ``unknown``.
+    A call that was in flight may have run: query its outcome from the same
+    incarnation of the peer, or report it as ``unknown``.
     """
 
     def __init__(self, peer: str, detail: str) -> None:
         super().__init__(
             f"connection to {peer} lost ({detail}); "
-            "check that the sidecar runs and its address in the settings is right"
+            "check that the sidecar is running and its address in the settings is right"
         )
         self.peer = peer
 
 
 class ReplyMismatchError(WireError):
     """
-    A peer sent the answer, or a chunk, of another call. Nothing of it is used.
+    A peer sent the reply to another call, or a chunk of one; it is discarded.
 
-    What became of this call is not known.
+    The outcome of this call is unknown.
     """
 
-    def __init__(self, peer: str, expected: object, found: object) -> None:
+    def __init__(self, peer: str, expected: object, received: object) -> None:
         super().__init__(
-            f"answer from {peer} belongs to another call "
-            f"(expected {expected}, found {found}); replace that sidecar"
+            f"reply from {peer} belongs to another call "
+            f"(expected {expected}, got {received}); replace that sidecar"
         )
         self.peer = peer
 
 
 class ChunkRefusedError(WireError):
-    """A chunk could not be taken; what became of its call is not known."""
+    """The handler of a chunk failed; the outcome of the chunk's call is unknown."""
 
     def __init__(self, peer: str, detail: str) -> None:
         super().__init__(
-            f"chunk from {peer} could not be taken ({detail}); report this as a fault"
+            f"handler of a chunk from {peer} failed ({detail}); report this as a bug"
         )
         self.peer = peer
--- a/packages/wire/src/amaranthtally/wire/load_codec.py
+++ b/packages/wire/src/amaranthtally/wire/load_codec.py
@@ -1,4 +1,4 @@
-"""Conversion of what a sidecar tells of itself: its load and its engine's cache."""
+"""Codec of a sidecar's load and of the updates of its engine's prefix cache."""
 
 from typing import Any
 
@@ -45,7 +45,7 @@
 
 
 def read_load(source: Any) -> Load:
-    """Return the load held by a reader."""
+    """Decode a ``Load`` reader."""
     (
         incarnation,
         running,
@@ -91,27 +91,27 @@
     return ModelState(frozenset(served), role, last_order)
 
 
-# News of the prefix cache
+# Updates of the prefix cache
 
 
-def write_cache_update(target: Any, news: CacheUpdate) -> None:
+def write_cache_update(target: Any, update: CacheUpdate) -> None:
     """Fill a ``CacheUpdate`` builder."""
-    target.serial = news.serial
-    target.reset = news.reset
-    if news.stored:
-        target.stored = news.stored
-    if news.removed:
-        target.removed = news.removed
+    target.serial = update.serial
+    target.reset = update.reset
+    if update.stored:
+        target.stored = update.stored
+    if update.removed:
+        target.removed = update.removed
 
 
-_NEWS_SERIAL = fields_of(schema.CacheNews, "serial")
-_NEWS = fields_of(schema.CacheNews, "stored", "removed", "reset")
+_UPDATE_SERIAL = fields_of(schema.CacheNews, "serial")
+_UPDATE = fields_of(schema.CacheNews, "stored", "removed", "reset")
 
 
 def read_cache_update(source: Any) -> CacheUpdate:
-    """Return the news held by a reader."""
-    (serial,) = read_fields(source, _NEWS_SERIAL)
+    """Decode a ``CacheNews`` reader."""
+    (serial,) = read_fields(source, _UPDATE_SERIAL)
     if not serial:
         return NO_CACHE_UPDATE
-    stored, removed, reset = read_fields(source, _NEWS)
+    stored, removed, reset = read_fields(source, _UPDATE)
     return CacheUpdate(serial, tuple(stored), tuple(removed), reset)
--- a/packages/wire/src/amaranthtally/wire/messages.py
+++ b/packages/wire/src/amaranthtally/wire/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the inner protocol, free of any transport."""
+"""Typed messages of the sidecar protocol, independent of the transport."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass, field
@@ -21,14 +21,14 @@
     "StreamPart",
 ]
 
-# Receives the offset of a chunk in the stage's output, counted in chunks, and its text.
+# Receives a chunk's offset in the stage's output, counted in chunks, and its text.
 ChunkHandler = Callable[[int, str], Awaitable[None]]
-# Receives the offset of the first of some consecutive chunks, and their texts.
+# Receives the offset of the first of several consecutive chunks, and their texts.
 ChunksHandler = Callable[[int, Sequence[str]], None]
 
 
 class Status(Enum):
-    """What became of a stage call."""
+    """Outcome of a stage call."""
 
     FINISHED = "finished"
     NOT_RUN = "notRun"
@@ -39,10 +39,10 @@
 
 class OutcomeQuery(Enum):
     """
-    How to ask after a call that may not be repeated.
+    How to query the outcome of an at-most-once call.
 
-    ``POLL`` answers at once, ``WAIT`` once the call has ended, ``WITHDRAW``
-    keeps it from starting where it has not.
+    ``POLL`` returns immediately, ``WAIT`` returns when the call has ended, and
+    ``WITHDRAW`` prevents a call that has not started from starting.
     """
 
     POLL = "look"
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallId:
-    """One attempt at one stage of one request."""
+    """Identifies one attempt at one stage of one request."""
 
     request_id: str
     stage: int
@@ -62,9 +62,9 @@
 @dataclass(frozen=True, slots=True)
 class ModelState:
     """
-    The models that an engine answers now, its role, and its last order.
+    The models that an engine currently serves, its role, and its last order.
 
-    ``last_order`` is in words for operators; empty before any order.
+    ``last_order`` is a text for operators; empty before the first order.
     """
 
     served: frozenset[str] = frozenset()
@@ -101,11 +101,13 @@
 @dataclass(frozen=True, slots=True)
 class AtMostOnceTerms:
     """
-    Which incarnation alone may run a call, and from which copies.
+    Conditions under which an at-most-once call may run.
 
-    ``issued_s`` is a time on that incarnation's clock; ``permit`` counts the
-    withdrawals that the sender knows of; ``fingerprint`` stands for the input. A
-    copy that arrives after ``expires_s`` on that clock is not run; 0: no limit.
+    Only the sidecar incarnation ``incarnation`` may run the call. ``issued_s`` and
+    ``expires_s`` are times on that incarnation's clock, in seconds. A copy of the
+    call that arrives after ``expires_s`` is not run; 0 means no limit. ``permit`` is
+    the number of withdrawals of the call that the sender knows of; ``fingerprint``
+    is a digest of the input.
     """
 
     incarnation: int = 0
@@ -118,10 +120,10 @@
 @dataclass(frozen=True, slots=True)
 class CacheUpdate:
     """
-    Blocks of prompts that a sidecar's engine stored and removed since a serial.
+    Prompt blocks that an engine's prefix cache stored and removed since a serial.
 
-    ``reset`` says that whatever was known before is to be forgotten; a ``serial``
-    of 0 that there is no news.
+    ``reset`` means that the receiver must discard all blocks it knew before. A
+    ``serial`` of 0 means that the message carries no update.
     """
 
     serial: int = 0
@@ -136,11 +138,12 @@
 @dataclass(frozen=True, slots=True)
 class StageCall:
     """
-    A stage to run. ``remaining_s`` is the time left, in seconds.
+    A request to run a stage. ``remaining_s`` is the time until its deadline.
 
-    A call with ``repeatable`` false carries the ``terms`` under which it may run
-    and a ``call_key`` that names the effect. ``cache_serial`` is the serial up to
-    which the sender knows the sidecar's news of cached prefixes.
+    A call with ``repeatable`` false is an at-most-once call: its effect must not
+    happen twice. It carries the ``terms`` under which it may run and a ``call_key``
+    that identifies the effect. ``cache_serial`` is the serial of the last cache
+    update that the sender has received from this sidecar.
     """
 
     id: CallId
@@ -162,10 +165,12 @@
 @dataclass(frozen=True, slots=True)
 class StageReply:
     """
-    The outcome of a stage call; ``output`` is JSON when it finished.
+    The outcome of a stage call; ``output`` is JSON if the call finished.
 
-    ``permanent`` marks a failure that another attempt would meet again;
-    ``permit`` is the one under which a call that has not started may start.
+    ``permanent`` marks a failure that a retry would meet again. ``permit`` is the
+    permit that a new copy of a call that was not run needs to be allowed to start.
+    ``queued_s`` and ``run_s`` are the call's times in the queue and at the endpoint,
+    in seconds.
     """
 
     id: CallId
@@ -184,10 +189,11 @@
 @dataclass(frozen=True, slots=True)
 class StreamPart:
     """
-    Consecutive chunks of one stream on their way to an entry.
+    Consecutive chunks of one stream, sent to an entry in one message.
 
-    ``stream`` is the entry's number for the call ``id``; ``offset`` is that of the
-    first chunk. ``texts`` grows until the part is sent.
+    ``stream`` is the number that the entry assigned to the call ``id``; ``offset``
+    is the offset of the first chunk. The sender appends to ``texts`` until it sends
+    the part.
     """
 
     stream: int
@@ -198,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HelloReply:
-    """A sidecar's answer to ``hello``."""
+    """A sidecar's reply to ``hello``: the endpoint's name and its load."""
 
     endpoint: str
     load: Load
@@ -207,9 +213,10 @@
 @dataclass(frozen=True, slots=True)
 class SettingsDelta:
     """
-    Changes that a peer has after a revision, encoded, oldest first.
+    Encoded settings changes after a revision, oldest first.
 
-    ``snapshot`` is the whole tree where the changes are kept no more.
+    If the peer no longer keeps the changes since that revision, ``snapshot`` holds
+    the whole settings tree instead. ``revision`` is the peer's current revision.
     """
 
     revision: int
