--- a/packages/wire/src/amaranthtally/wire/connections.py
+++ b/packages/wire/src/amaranthtally/wire/connections.py
@@ -22,7 +22,7 @@
 
     @property
     def entry_count(self) -> int:
-        """Number of connected entries; peers that have not sent ``hello`` don't count."""
+        """Number of connected entries; connections without a ``hello`` don't count."""
         return sum(entry is not None for entry in self._open.values())
 
     def connection_opened(self, connection: object) -> None:
--- a/packages/wire/src/amaranthtally/wire/server.py
+++ b/packages/wire/src/amaranthtally/wire/server.py
@@ -1,4 +1,4 @@
-"""Server side of the inner protocol, run by a sidecar."""
+"""Server side of the sidecar protocol, and the capabilities that its peers offer."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
@@ -44,49 +44,49 @@
     "settings_server",
 ]
 
-AnswerT = TypeVar("AnswerT")
+ResultT = TypeVar("ResultT")
 
 
 class SettingsSource(Protocol):
-    """Whoever can tell a peer the changes it lacks."""
+    """Provides the settings changes that a peer does not have yet."""
 
     def changes_since(self, revision: int) -> SettingsDelta:
         """Return the changes after ``revision``, oldest first."""
 
 
-# Receives the load that a sidecar tells unasked.
+# Receives a load that a sidecar pushes.
 LoadHandler = Callable[[Load], None]
-# Reads, from the peer at the other end, its changes after a revision.
+# Reads the settings changes after a revision from the peer of the connection.
 SettingsFetcher = Callable[[int], Awaitable[SettingsDelta]]
 
 
 class SidecarHandler(SettingsSource, Protocol):
-    """What a sidecar does with the calls of an entry."""
+    """Implements the requests that a sidecar receives."""
 
     def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
-        """Hear of a peer's revision and return one's own."""
+        """Receive a peer's settings revision and return this process's revision."""
 
     async def hello(
         self, entry: str, revision: int, fetch: SettingsFetcher
     ) -> HelloReply:
-        """Greet an entry; ``fetch`` reads the changes that the entry has."""
+        """Accept an entry; ``fetch`` reads the entry's settings changes."""
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
-        """Run a stage; streamed chunks go to ``on_chunk``."""
+        """Run a stage; pass streamed chunks to ``on_chunk``."""
 
     async def cancel(self, call_id: CallId) -> StageReply:
-        """Cancel a call; a tombstone refuses a copy that arrives later."""
+        """Cancel a call, and refuse a copy of it that arrives later."""
 
     async def query_outcome(
         self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
     ) -> StageReply:
-        """Say what became of a call that may not be repeated."""
+        """Return the outcome of an at-most-once call."""
 
     async def hand_over(self, body: bytes, signature: bytes) -> bool:
-        """Take a stopping peer's signed records; false where they are not kept."""
+        """Store a stopping peer's signed records; return whether they were stored."""
 
     def load(self) -> Load:
-        """Return the present load."""
+        """Return the current load."""
 
 
 # Servers
@@ -117,7 +117,7 @@
 
     async def chunks(self, parts: Any, _context: Any, **_: Any) -> None:
         for part in parts:
-            self._streams.take(read_part(part))
+            self._streams.receive(read_part(part))
 
     async def changesSince(  # noqa: N802 - name fixed by the schema
         self, revision: int, _context: Any, **_: Any
@@ -129,12 +129,12 @@
     def __init__(self, handler: SidecarHandler, connections: EntryConnections) -> None:
         self._handler = handler
         self._connections = connections
-        self._joiner: ChunkBatcher | None = None
+        self._batcher: ChunkBatcher | None = None
 
-    def end(self) -> None:
-        """Drop the chunks that can't be sent any more."""
-        if self._joiner is not None:
-            self._joiner.close()
+    def disconnected(self) -> None:
+        """Discard the chunks that are still to be sent: the connection has ended."""
+        if self._batcher is not None:
+            self._batcher.close()
 
     async def changesSince(  # noqa: N802 - name fixed by the schema
         self, revision: int, _context: Any, **_: Any
@@ -144,35 +144,35 @@
     async def announce(
         self, revision: int, source: Any, _context: Any, **_: Any
     ) -> None:
-        own = self._handler.announce_revision(revision, _fetcher(source))
-        _context.results.revision = own
+        own_revision = self._handler.announce_revision(revision, _fetcher(source))
+        _context.results.revision = own_revision
 
     async def hello(
         self, entry: str, revision: int, settings: Any, _context: Any, **_: Any
     ) -> None:
-        greeting = await _if_wanted(
+        reply = await _unless_cancelled(
             self._handler.hello(entry, revision, _fetcher(settings))
         )
-        self._connections.greeted(self, settings)
-        self._joiner = ChunkBatcher(_parts_sender(settings))
-        _context.results.endpoint = greeting.endpoint
-        write_load(_context.results.load, greeting.load)
+        self._connections.hello_received(self, settings)
+        self._batcher = ChunkBatcher(_part_sender(settings))
+        _context.results.endpoint = reply.endpoint
+        write_load(_context.results.load, reply.load)
 
     async def run(self, call: Any, stream: int, _context: Any, **_: Any) -> None:
-        wanted = read_call(call)
-        reply = await _if_wanted(self._run(wanted, stream))
+        stage_call = read_call(call)
+        reply = await _unless_cancelled(self._run(stage_call, stream))
         write_reply(_context.results.reply, reply)
 
-    async def _run(self, wanted: StageCall, stream: int) -> StageReply:
-        if self._joiner is None or not stream:
-            return await self._handler.run(wanted, _no_chunk)
-        with self._joiner.open(stream, wanted.id) as chunks:
-            reply = await self._handler.run(wanted, chunks.put)
+    async def _run(self, call: StageCall, stream: int) -> StageReply:
+        if self._batcher is None or not stream:
+            return await self._handler.run(call, _ignore_chunk)
+        with self._batcher.open(stream, call.id) as chunks:
+            reply = await self._handler.run(call, chunks.put)
             await chunks.finish()
             return reply
 
     async def cancel(self, id: Any, _context: Any, **_: Any) -> None:  # noqa: A002
-        reply = await _if_wanted(self._handler.cancel(read_call_id(id)))
+        reply = await _unless_cancelled(self._handler.cancel(read_call_id(id)))
         write_reply(_context.results.reply, reply)
 
     async def inquire(
@@ -183,7 +183,7 @@
         _context: Any,
         **_: Any,
     ) -> None:
-        reply = await _if_wanted(
+        reply = await _unless_cancelled(
             self._handler.query_outcome(
                 callKey, read_terms(terms), OutcomeQuery(str(inquiry))
             )
@@ -193,7 +193,7 @@
     async def handOver(  # noqa: N802 - name fixed by the schema
         self, body: Any, signature: Any, _context: Any, **_: Any
     ) -> None:
-        _context.results.taken = await _if_wanted(
+        _context.results.taken = await _unless_cancelled(
             self._handler.hand_over(bytes(body), bytes(signature))
         )
 
@@ -204,44 +204,45 @@
 def entry_server(
     source: SettingsSource, on_load: LoadHandler, streams: OpenStreams
 ) -> Any:
-    """Return what a sidecar reads ``source`` from, and tells news and chunks to."""
+    """Return the capability with which a sidecar reads settings and pushes updates."""
     return _EntryServer(source, on_load, streams)
 
 
-async def _no_chunk(offset: int, text: str) -> None:
-    """Drop a chunk of a call that does not stream."""
+async def _ignore_chunk(offset: int, text: str) -> None:
+    """Discard a chunk of a call that does not stream."""
 
 
 def settings_server(source: SettingsSource) -> Any:
-    """Return the capability through which a peer reads ``source``."""
+    """Return the capability with which a peer reads ``source``."""
     return _SettingsServer(source)
 
 
-def _parts_sender(entry: Any) -> SendParts:
+def _part_sender(entry: Any) -> SendParts:
     def send(parts: Sequence[StreamPart]) -> Awaitable[object]:
         request = entry.chunks_request()
         write_parts(request, parts)
-        sent: Awaitable[object] = request.send()
-        return sent
+        acknowledgement: Awaitable[object] = request.send()
+        return acknowledgement
 
     return send
 
 
-async def _if_wanted(work: Awaitable[AnswerT]) -> AnswerT:
+async def _unless_cancelled(work: Awaitable[ResultT]) -> ResultT:
     """
-    Return what ``work`` gives; raises ``CancelledError`` where nobody wants it.
-
-    Once a caller has cancelled its call, the call's results are freed, and pycapnp
-    2.2.4 writes to them all the same: the process ends by SIGSEGV and takes every
-    other call and record with it. A handler can return after a cancellation, where
-    it races with the handler's own time-out or end. The task's own count of
-    cancellations tells, whatever the handler caught.
+    Return the result of ``work``; raise ``CancelledError`` if the call was cancelled.
+
+    When a caller cancels its call, the call's result struct is freed, but pycapnp
+    2.2.4 still writes to it if the method returns. The process then dies of SIGSEGV,
+    and all of its calls and records are lost. A handler can return after the
+    cancellation if it races with the handler's own time-out or completion. The
+    task's count of cancellation requests shows this even if the handler caught the
+    ``CancelledError``.
     """
-    answer = await work
+    result = await work
     task = asyncio.current_task()
     if task is not None and task.cancelling():
         raise asyncio.CancelledError
-    return answer
+    return result
 
 
 def _fetcher(peer: Any) -> SettingsFetcher:
@@ -254,14 +255,14 @@
     return fetch
 
 
-def _write_settings_delta(target: Any, gap: SettingsDelta) -> None:
-    target.revision = gap.revision
-    target.changes = list(gap.changes)
-    target.snapshot = gap.snapshot
+def _write_settings_delta(target: Any, delta: SettingsDelta) -> None:
+    target.revision = delta.revision
+    target.changes = list(delta.changes)
+    target.snapshot = delta.snapshot
 
 
 def read_settings_delta(source: Any) -> SettingsDelta:
-    """Return the settings gap held by a reader."""
+    """Decode the reply of ``changesSince``."""
     changes = tuple(bytes(change) for change in source.changes)
     return SettingsDelta(source.revision, changes, bytes(source.snapshot))
 
@@ -274,22 +275,22 @@
     connections: EntryConnections | None = None,
 ) -> AsyncIterator[int]:
     """
-    Serve ``handler`` over TCP and yield the bound port; 0 lets the kernel pick.
+    Serve ``handler`` over TCP and yield the bound port; port 0 picks a free one.
 
-    Must run inside ``capnp.kj_loop()``. On exit no connection is accepted any
-    more and the open ones end.
+    Must run inside ``capnp.kj_loop()``. On exit the listening socket is closed and
+    the open connections end.
     """
-    known = EntryConnections() if connections is None else connections
+    open_connections = EntryConnections() if connections is None else connections
 
     async def accept(stream: Any) -> None:
-        sidecar = _SidecarServer(handler, known)
-        known.opened(sidecar)
+        sidecar = _SidecarServer(handler, open_connections)
+        open_connections.connection_opened(sidecar)
         try:
             server = capnp.TwoPartyServer(stream, bootstrap=sidecar)
             await server.on_disconnect()
         finally:
-            known.closed(sidecar)
-            sidecar.end()
+            open_connections.connection_closed(sidecar)
+            sidecar.disconnected()
 
     listener = await capnp.AsyncIoStream.create_server(accept, host, port)
     try:
--- a/packages/wire/src/amaranthtally/wire/stream_codec.py
+++ b/packages/wire/src/amaranthtally/wire/stream_codec.py
@@ -1,4 +1,4 @@
-"""Conversion between parts of streams and Cap'n Proto structs."""
+"""Conversion between parts of chunk streams and Cap'n Proto structs."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -24,6 +24,6 @@
 
 
 def read_part(source: Any) -> StreamPart:
-    """Return the stream part held by a reader."""
+    """Decode a ``StreamPart`` reader."""
     stream, call_id, offset, texts = read_fields(source, _PART)
     return StreamPart(stream, read_call_id(call_id), offset, list(texts))
--- a/packages/wire/src/amaranthtally/wire/streams.py
+++ b/packages/wire/src/amaranthtally/wire/streams.py
@@ -1,4 +1,4 @@
-"""An entry's streams over one connection, by the numbers it has given them."""
+"""The chunk streams that an entry receives over one connection."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,7 +15,7 @@
 
 
 class OpenStream:
-    """Takes the chunks of one call, and refuses those of any other."""
+    """Passes the chunks of one call to its handler and rejects those of other calls."""
 
     def __init__(
         self, peer: str, number: int, call_id: CallId, on_chunks: ChunksHandler
@@ -26,28 +26,28 @@
         self._on_chunks = on_chunks
         self._error: WireError | None = None
 
-    def take(self, part: StreamPart) -> None:
-        """Hand on a part's chunks; one that fails makes ``check`` raise."""
-        # A sidecar that mixes up its streams would hand one caller's words to
-        # another. It shows as an id that is not the call's: nothing of that part is
-        # used, and the call counts as lost.
+    def receive(self, part: StreamPart) -> None:
+        """Pass a part's chunks to the handler; ``check`` raises if this fails."""
+        # A sidecar that confuses its streams would give one caller's text to another.
+        # The id in the part detects this; a part with another id is discarded and its
+        # stream's call fails with an unknown outcome.
         if part.id != self._call_id:
             self._error = ReplyMismatchError(self._peer, self._call_id, part.id)
             return
         try:
             self._on_chunks(part.offset, part.texts)
         except Exception as error:
-            # The other streams of the message must not suffer from it.
+            # A failing handler must not affect the other streams of the message.
             self._error = ChunkRefusedError(self._peer, repr(error))
 
     def check(self) -> None:
-        """Raise what went wrong with a chunk, if anything."""
+        """Raise the last error with a chunk of this stream, if any."""
         if self._error is not None:
             raise self._error
 
 
 class OpenStreams:
-    """Streams by number; a number is used once on a connection."""
+    """Open streams by number; each number is used once per connection."""
 
     def __init__(self, peer: str) -> None:
         self._peer = peer
@@ -56,7 +56,7 @@
 
     @contextmanager
     def open(self, call_id: CallId, on_chunks: ChunksHandler) -> Iterator[OpenStream]:
-        """Open a stream until its call has ended."""
+        """Register a stream until the context exits, when its call has ended."""
         stream = OpenStream(self._peer, next(self._numbers), call_id, on_chunks)
         self._streams[stream.number] = stream
         try:
@@ -64,8 +64,8 @@
         finally:
             del self._streams[stream.number]
 
-    def take(self, part: StreamPart) -> None:
-        """Hand on a part; one whose call has ended here is dropped."""
+    def receive(self, part: StreamPart) -> None:
+        """Pass a part to its stream; discard it if its call has ended."""
         stream = self._streams.get(part.stream)
         if stream is not None:
-            stream.take(part)
+            stream.receive(part)
--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -102,8 +102,8 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as one, joiner.open(2, call_id(2)) as two:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with batcher.open(1, call_id(1)) as one, batcher.open(2, call_id(2)) as two:
             await one.put(3, "a")
             await run_ready()
             await one.put(4, "b")
@@ -125,8 +125,8 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as chunks:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with batcher.open(1, call_id(1)) as chunks:
             await chunks.put(0, "a")
             await run_ready()
             await chunks.put(1, "b")
@@ -151,24 +151,24 @@
         entry = HeldEntry()
         if acknowledges:
             entry.let_go.set()
-        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
         size = MAX_UNACKNOWLEDGED_CHARS // 4
 
         async def produce():
-            with joiner.open(1, call_id(1)) as chunks:
+            with batcher.open(1, call_id(1)) as chunks:
                 for offset in range(100):
                     await chunks.put(offset, "x" * size)
 
         producing = asyncio.create_task(produce())
         await run_ready()
         assert not producing.done()
-        held = sum(map(len, [t for p in joiner._held.values() for t in p.texts]))
+        held = sum(map(len, [t for p in batcher._pending.values() for t in p.texts]))
         sent = sum(len(t) for parts in entry.taken for _, _, ts in parts for t in ts)
         waiting = held if acknowledges else held + sent
         assert waiting <= MAX_UNACKNOWLEDGED_CHARS + size
         # The end of the connection must let the producer go, or its engine's place
         # would be held for ever.
-        joiner.close()
+        batcher.close()
         await producing
 
     run_async(scenario())
@@ -182,13 +182,13 @@
 
     async def scenario():
         entry = HeldEntry()
-        joiner = ChunkBatcher(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as gone:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with batcher.open(1, call_id(1)) as gone:
             await gone.put(0, "a")
             await run_ready()
             await gone.put(1, "b")
         await gone.put(2, "c")
-        with joiner.open(2, call_id(2)) as chunks:
+        with batcher.open(2, call_id(2)) as chunks:
             await chunks.put(0, "x")
             await run_ready()
         assert entry.taken == [[(1, 0, ("a",))], [(2, 0, ("x",))]]
@@ -215,10 +215,10 @@
         streams.open(call_id(2), take) as two,
         streams.open(call_id(3), take) as three,
     ):
-        streams.take(StreamPart(one.number, call_id(1), 0, ["a"]))
-        streams.take(StreamPart(two.number, call_id(1), 0, ["b"]))
-        streams.take(StreamPart(three.number, call_id(3), 0, ["c"]))
-        streams.take(StreamPart(99, call_id(4), 0, ["d"]))
+        streams.receive(StreamPart(one.number, call_id(1), 0, ["a"]))
+        streams.receive(StreamPart(two.number, call_id(1), 0, ["b"]))
+        streams.receive(StreamPart(three.number, call_id(3), 0, ["c"]))
+        streams.receive(StreamPart(99, call_id(4), 0, ["d"]))
         assert taken == [(0, "c")]
         with pytest.raises(Exception, match="handler of a chunk"):
             one.check()
