--- a/packages/policy/src/amaranthtally/policy/load_poller.py
+++ b/packages/policy/src/amaranthtally/policy/load_poller.py
@@ -1,6 +1,6 @@
 """Requests for the load of endpoints whose last load report is old."""
 
-from amaranthtally.policy.actions import Action, Greet
+from amaranthtally.policy.actions import Action, PollLoad
 from amaranthtally.policy.budgets import RateLimit
 from amaranthtally.policy.loads import LoadTable
 from amaranthtally.policy.routing import Router
@@ -37,5 +37,5 @@
             if self._rate.wait_s(now) > 0:
                 break
             self._rate.take()
-            requests.append(Greet(endpoint))
+            requests.append(PollLoad(endpoint))
         return requests
--- a/packages/policy/src/amaranthtally/policy/membership.py
+++ b/packages/policy/src/amaranthtally/policy/membership.py
@@ -2,7 +2,7 @@
 
 from itertools import islice
 
-from amaranthtally.policy.actions import Action, Greet
+from amaranthtally.policy.actions import Action, PollLoad
 from amaranthtally.policy.ejection import Ejections
 from amaranthtally.policy.events import LoadReport
 from amaranthtally.policy.groups import EndpointGroups, EndpointsByRegion
@@ -52,7 +52,7 @@
             if load is None:
                 continue
             stays = new is not None and new.takes_calls
-            if new is not None and stays and new.stands_like(load.endpoint):
+            if new is not None and stays and new.is_same_server(load.endpoint):
                 # Its attempts continue, and the models that it reported remain valid.
                 load.endpoint = new
             else:
@@ -134,7 +134,7 @@
         pipeline could be switched to that model.
         """
         excluded = _due(now, self._excluded)
-        return [Greet(name) for name in excluded + _due(now, self._unconfirmed)]
+        return [PollLoad(name) for name in excluded + _due(now, self._unconfirmed)]
 
     def _update_unconfirmed(self, settings: PolicySettings) -> None:
         with_models = sorted(
--- a/packages/policy/src/amaranthtally/policy/piece_servers.py
+++ b/packages/policy/src/amaranthtally/policy/piece_servers.py
@@ -114,7 +114,7 @@
         own_s = max(0.0, self.busy_until - now)
         # A load report is outdated after one call: the queue is taken to have shrunk by
         # as many calls as could run since then.
-        call_s = self.full_call_s(now)
+        call_s = self.full_call_time_s(now)
         calls_since = (now - self.load_reported_at) / call_s if call_s else 0.0
         others_s = (
             max(0.0, self.foreign_calls - calls_since)
@@ -142,15 +142,15 @@
 
     def call_s(self, now: float, pieces: int) -> float:
         """Return how long a call with this many pieces is predicted to run, in s."""
-        return self.limits.call_of_s(pieces) * self.slowness(now)
+        return self.limits.call_time_s(pieces) * self.slowness(now)
 
-    def full_call_s(self, now: float) -> float:
+    def full_call_time_s(self, now: float) -> float:
         """Return how long a full call is predicted to run, in seconds."""
-        return self.limits.full_call_s() * self.slowness(now)
+        return self.limits.full_call_time_s() * self.slowness(now)
 
     def timeout_s(self, now: float, pieces: int) -> float:
         """Return the time-out of a call sent now, in seconds."""
-        usual_s = TIMEOUT_FACTOR * self.limits.call_of_s(pieces)
+        usual_s = TIMEOUT_FACTOR * self.limits.call_time_s(pieces)
         slow_s = SLOW_TIMEOUT_FACTOR * self.call_s(now, pieces)
         wait_s = SLOW_TIMEOUT_FACTOR * self.wait_s(now)
         return max(usual_s, slow_s) + wait_s + TIMEOUT_MARGIN_S
@@ -173,7 +173,9 @@
         """Record a call, and reserve the memory that its results will occupy."""
         starts_at = now + self.wait_s(now)
         self.busy_until = starts_at + self.call_s(now, pieces)
-        self.calls[call] = _Call(result_bytes, starts_at, self.limits.call_of_s(pieces))
+        self.calls[call] = _Call(
+            result_bytes, starts_at, self.limits.call_time_s(pieces)
+        )
 
     def note_ended(self, now: float, call: int, has_all_results: bool) -> None:
         """
@@ -254,7 +256,7 @@
             if pool is None or pool.pieces is None:
                 continue
             server = self._servers.get(endpoint.id)
-            if server is None or not server.endpoint.stands_like(endpoint):
+            if server is None or not server.endpoint.is_same_server(endpoint):
                 server = self._build(endpoint, pool.pieces)
             server.endpoint = endpoint
             server.limits = pool.pieces
--- a/packages/policy/src/amaranthtally/policy/request_inputs.py
+++ b/packages/policy/src/amaranthtally/policy/request_inputs.py
@@ -4,11 +4,11 @@
 from random import Random
 from typing import NamedTuple
 
-from amaranthtally.policy.actions import Action, Reason
-from amaranthtally.policy.admission import ADMITTED, Verdict
+from amaranthtally.policy.actions import Action, RefusalReason
+from amaranthtally.policy.admission import ADMITTED, AdmissionDecision
 from amaranthtally.policy.events import Arrival, PieceWork
-from amaranthtally.policy.ledger import Ledger
 from amaranthtally.policy.piece_coordinator import PieceCoordinator
+from amaranthtally.policy.request_ledger import RequestLedger
 from amaranthtally.policy.requests import Request
 from amaranthtally.policy.stage_times import StageTimes
 
@@ -41,7 +41,7 @@
         self._times = times
         self._fetches: deque[_Fetch] = deque()
 
-    def judge(self, now: float, arrival: Arrival, work: PieceWork) -> Verdict:
+    def judge(self, now: float, arrival: Arrival, work: PieceWork) -> AdmissionDecision:
         """
         Refuse a request whose pieces are predicted to miss their deadline.
 
@@ -54,7 +54,9 @@
         excess_s = now + needed_s - self.pieces_deadline(arrival)
         if excess_s <= 0:
             return ADMITTED
-        return Verdict(Reason.OVERLOAD, max(excess_s, self.retry_after_s(now, arrival)))
+        return AdmissionDecision(
+            RefusalReason.OVERLOAD, max(excess_s, self.retry_after_s(now, arrival))
+        )
 
     def pieces_deadline(self, arrival: Arrival) -> float:
         """
@@ -64,14 +66,14 @@
         would wait until its deadline, and not be told when to retry.
         """
         run_s = self._times.floor_s(arrival.pipeline.stages)
-        return min(arrival.begin_by, arrival.deadline - run_s)
+        return min(arrival.latest_start, arrival.deadline - run_s)
 
     def retry_after_s(self, now: float, arrival: Arrival) -> float:
         """Return after how many seconds to retry a request refused for overload."""
-        if arrival.work is None:
+        if arrival.piece_work is None:
             return 0.0
         backlog_s = self._coordinator.plans.backlog_s(
-            now, arrival.work.stages, arrival.priority
+            now, arrival.piece_work.stages, arrival.priority
         )
         return max(MIN_RETRY_AFTER_S, backlog_s) * (1.0 + self._random.random())
 
@@ -80,7 +82,7 @@
         if request.inputs:
             self._fetches.append(_Fetch(now + FETCH_S, request.id))
 
-    def free_fetched(self, now: float, ledger: Ledger) -> list[Action]:
+    def free_fetched(self, now: float, ledger: RequestLedger) -> list[Action]:
         """
         Return actions that free the inputs that engines have fetched by now.
 
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -9,9 +9,9 @@
 from amaranthtally.policy.model import Pipeline, Stage
 from amaranthtally.policy.prefixes import PrefixIndex
 from tests.policy.support import (
-    AWAY,
-    HOME,
-    Feeder,
+    LOCAL_REGION,
+    REMOTE_REGION,
+    PlannerDriver,
     endpoints,
     one_stage,
     planner,
@@ -27,13 +27,13 @@
     """
     counts = Counter()
     for seed in range(20):
-        feeder = Feeder(planner(endpoints("engine", 12), seed), one_stage())
+        driver = PlannerDriver(planner(endpoints("engine", 12), seed), one_stage())
         for number in range(12):
             busy = 0 if number == 0 else 3
-            entry = feeder.planner
+            entry = driver.planner
             entry.load_report(1.0, f"engine-{number}", report(busy, limit=8))
         for _ in range(10):
-            counts.update(s.endpoint for s in sends(feeder.arrive(1.0)))
+            counts.update(s.endpoint for s in sends(driver.arrive(1.0)))
     assert counts["engine-0"] < 0.5 * sum(counts.values())
     assert len(counts) == 12
 
@@ -44,20 +44,20 @@
     that were idle at that time. In a burst, a third of the engines had queues of three
     seconds while another third was idle, and a little later the reverse.
     """
-    feeder = Feeder(planner(endpoints("engine", 4)), one_stage())
+    driver = PlannerDriver(planner(endpoints("engine", 4)), one_stage())
     reported = {f"engine-{number}": 3 * (number > 0) for number in range(4)}
     counts = Counter()
     now = 1.0
     outstanding = []
     for number in range(400):
         now += 0.1
-        (send,) = sends(feeder.arrive(now))
+        (send,) = sends(driver.arrive(now))
         counts[send.endpoint] += number >= 200
         outstanding.append(send)
         for name, running in reported.items():
-            feeder.planner.load_report(now, name, report(running, limit=8))
+            driver.planner.load_report(now, name, report(running, limit=8))
         if len(outstanding) > 4:
-            feeder.reply(now + 0.06, outstanding.pop(0), run_s=0.05)
+            driver.reply(now + 0.06, outstanding.pop(0), run_s=0.05)
     assert counts["engine-0"] < 0.5 * sum(counts.values())
 
 
@@ -66,20 +66,20 @@
     One engine is busy with long answers for another entry. When its reports were
     current but treated as stale, this entry's attempts were sent there too and waited.
     """
-    feeder = Feeder(planner(endpoints("engine", 4)), one_stage())
+    driver = PlannerDriver(planner(endpoints("engine", 4)), one_stage())
     busy = {f"engine-{number}": 8 * (number == 0) for number in range(4)}
     chosen = []
     now = 1.0
     for _ in range(200):
         now += 0.1
-        (send,) = sends(feeder.arrive(now))
+        (send,) = sends(driver.arrive(now))
         chosen.append(send.endpoint)
         for name, running in busy.items():
             own = name == send.endpoint
-            feeder.planner.load_report(now + 0.05, name, report(running + own, limit=8))
-        feeder.reply(now + 0.06, send, run_s=0.05)
+            driver.planner.load_report(now + 0.05, name, report(running + own, limit=8))
+        driver.reply(now + 0.06, send, run_s=0.05)
         for name, running in busy.items():
-            feeder.planner.load_report(now + 0.07, name, report(running, limit=8))
+            driver.planner.load_report(now + 0.07, name, report(running, limit=8))
     assert chosen[100:].count("engine-0") == 0
 
 
@@ -90,16 +90,16 @@
     cached prefixes: a growing thread was prefilled anew each time although its engine
     still cached it.
     """
-    feeder = Feeder(planner(endpoints("engine", 1)), one_stage())
+    driver = PlannerDriver(planner(endpoints("engine", 1)), one_stage())
     now = 1.0
     for _ in range(50):
         now += 0.1
-        (send,) = sends(feeder.arrive(now))
+        (send,) = sends(driver.arrive(now))
         with_reply = replace(report(0), ended=1)
-        feeder.planner.load_report(now + 0.05, send.endpoint, with_reply)
-        feeder.reply(now + 0.05, send, run_s=0.05)
-        feeder.planner.load_report(now + 0.06, send.endpoint, report(0))
-    assert feeder.planner._loads.pool("engine").report_weight == 1.0
+        driver.planner.load_report(now + 0.05, send.endpoint, with_reply)
+        driver.reply(now + 0.05, send, run_s=0.05)
+        driver.planner.load_report(now + 0.06, send.endpoint, report(0))
+    assert driver.planner._loads.pool("engine").report_weight == 1.0
 
 
 def test_attempts_sent_since_the_last_report_are_counted():
@@ -107,8 +107,8 @@
     When an entry did not count its own attempts, eight requests that arrived together,
     with no report in between, ran on one engine while two others were idle.
     """
-    feeder = Feeder(planner(endpoints("engine", 3)), one_stage())
-    counts = Counter(s.endpoint for _ in range(9) for s in sends(feeder.arrive(1.0)))
+    driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage())
+    counts = Counter(s.endpoint for _ in range(9) for s in sends(driver.arrive(1.0)))
     assert set(counts.values()) == {3}
 
 
@@ -118,12 +118,14 @@
     answered late while those in Iași were idle, and requests were refused when Cluj had
     none left.
     """
-    feeder = Feeder(planner(endpoints("engine", 1, away=1)), one_stage(weight=1.0))
-    now = feeder.teach(run_s=0.5)
-    used = [s.endpoint for _ in range(8) for s in sends(feeder.arrive(now))]
+    driver = PlannerDriver(
+        planner(endpoints("engine", 1, remote=1)), one_stage(weight=1.0)
+    )
+    now = driver.train(run_s=0.5)
+    used = [s.endpoint for _ in range(8) for s in sends(driver.arrive(now))]
     assert {"engine-0", "engine-1"} == set(used)
-    feeder.planner.endpoint_leaving(now, "engine-0")
-    assert sends(feeder.arrive(now))[0].endpoint == "engine-1"
+    driver.planner.endpoint_leaving(now, "engine-0")
+    assert sends(driver.arrive(now))[0].endpoint == "engine-1"
 
 
 def test_the_price_of_traffic_is_weighed_against_the_gain():
@@ -131,14 +133,14 @@
     When an endpoint in another region was preferred for having a single call fewer, the
     traffic between regions cost more than the models.
     """
-    pool = endpoints("engine", 1, away=1)
-    for price, regions in ((0.0, {HOME, AWAY}), (1e6, {HOME})):
+    pool = endpoints("engine", 1, remote=1)
+    for price, regions in ((0.0, {LOCAL_REGION, REMOTE_REGION}), (1e6, {LOCAL_REGION})):
         entry = planner(pool, traffic_price_per_gb=price, region_latency_s=0.001)
-        feeder = Feeder(entry, one_stage(weight=0.3))
+        driver = PlannerDriver(entry, one_stage(weight=0.3))
         used = {
             pool[s.endpoint].region
             for _ in range(4)
-            for s in sends(feeder.arrive(1.0, input_bytes=1_000_000))
+            for s in sends(driver.arrive(1.0, input_bytes=1_000_000))
         }
         assert used == regions
 
@@ -149,16 +151,16 @@
     that it leaves. When it overruled the notice, a drained host received requests again
     and was switched off while they ran.
     """
-    feeder = Feeder(planner(endpoints("engine", 2)), one_stage())
-    entry = feeder.planner
+    driver = PlannerDriver(planner(endpoints("engine", 2)), one_stage())
+    entry = driver.planner
     entry.load_report(1.0, "engine-0", report())
     entry.endpoint_leaving(1.1, "engine-0")
     entry.load_report(1.2, "engine-0", report())
-    used = {s.endpoint for _ in range(8) for s in sends(feeder.arrive(1.3))}
+    used = {s.endpoint for _ in range(8) for s in sends(driver.arrive(1.3))}
     assert used == {"engine-1"}
     entry.load_report(9.0, "engine-0", report(incarnation=2))
     assert "engine-0" in {
-        s.endpoint for _ in range(8) for s in sends(feeder.arrive(9.1))
+        s.endpoint for _ in range(8) for s in sends(driver.arrive(9.1))
     }
 
 
@@ -167,11 +169,11 @@
     When routing ignored caches, each engine prefilled the same manual again. When only
     caches counted, one engine received all questions about it.
     """
-    feeder = Feeder(planner(endpoints("engine", 3)), one_stage(streams=True))
-    now = feeder.teach(run_s=0.5)
-    feeder.planner.cache_event(now, "engine-2", CacheEvent(1, stored=(7, 8)))
+    driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage(streams=True))
+    now = driver.train(run_s=0.5)
+    driver.planner.cache_event(now, "engine-2", CacheEvent(1, stored=(7, 8)))
     used = [
-        s.endpoint for _ in range(12) for s in sends(feeder.arrive(now, prefix=(7, 8)))
+        s.endpoint for _ in range(12) for s in sends(driver.arrive(now, prefix=(7, 8)))
     ]
     assert used[0] == "engine-2"
     assert len(set(used)) == 3
@@ -207,13 +209,13 @@
     """
     pool = endpoints("engine", 500)
     groups = EndpointGroups(Random(1))
-    groups.replace(HOME, pool)
+    groups.replace(LOCAL_REGION, pool)
     stage = Stage("generate", "engine")
-    before = {e.id for e in groups.candidates(stage)[HOME]}
+    before = {e.id for e in groups.candidates(stage)[LOCAL_REGION]}
     assert len(before) == LOCAL_SUBSET_SIZE
     removed = next(iter(before))
-    groups.replace(HOME, {k: v for k, v in pool.items() if k != removed})
-    after = {e.id for e in groups.candidates(stage)[HOME]}
+    groups.replace(LOCAL_REGION, {k: v for k, v in pool.items() if k != removed})
+    after = {e.id for e in groups.candidates(stage)[LOCAL_REGION]}
     assert len(after) == LOCAL_SUBSET_SIZE
     assert before - after == {removed}
 
@@ -224,14 +226,14 @@
     two long runs and the others got its load, the cost per answer rose by 4% although
     no endpoint was slow.
     """
-    feeder = Feeder(planner(endpoints("engine", 3)), one_stage())
+    driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage())
     noise = Random(1)
-    now = feeder.teach()
+    now = driver.train()
     for _ in range(60):
-        (send,) = sends(feeder.arrive(now))
+        (send,) = sends(driver.arrive(now))
         now += 0.2
-        feeder.reply(now, send, run_s=0.1 * noise.uniform(0.6, 1.4))
-    counts = Counter(s.endpoint for _ in range(9) for s in sends(feeder.arrive(now)))
+        driver.reply(now, send, run_s=0.1 * noise.uniform(0.6, 1.4))
+    counts = Counter(s.endpoint for _ in range(9) for s in sends(driver.arrive(now)))
     assert set(counts.values()) == {3}
 
 
@@ -248,14 +250,14 @@
     pool = {}
     for stage in pipeline.stages:
         pool |= endpoints(stage.pool, 12)
-    feeder = Feeder(planner(pool), pipeline)
+    driver = PlannerDriver(planner(pool), pipeline)
     engines = set()
     for turn in range(12):
-        actions = feeder.arrive(1.0 + turn, prefix=tuple(range(10)))
+        actions = driver.arrive(1.0 + turn, prefix=tuple(range(10)))
         for _ in other_stages:
             (send,) = sends(actions)
-            actions = feeder.reply(1.0 + turn, send)
+            actions = driver.reply(1.0 + turn, send)
         (send,) = sends(actions)
         engines.add(send.endpoint)
-        feeder.reply(1.0 + turn, send, run_s=0.1)
+        driver.reply(1.0 + turn, send, run_s=0.1)
     assert len(engines) == 1
