--- a/packages/policy/src/amaranthtally/policy/load_poller.py
+++ b/packages/policy/src/amaranthtally/policy/load_poller.py
@@ -1,4 +1,4 @@
-"""Requests for the load of endpoints whose last load report is old."""
+"""Polling of endpoints whose last load report is old."""
 
 from amaranthtally.policy.actions import Action, PollLoad
 from amaranthtally.policy.budgets import RateLimit
@@ -7,10 +7,10 @@
 
 __all__ = ["LoadPoller"]
 
-# Rate and burst of load requests sent by one entry: an entry that uses 100 endpoints
-# polls each of them within five seconds.
-REQUESTS_PER_S = 20.0
-REQUEST_BURST = 10.0
+# Rate and burst of the polls of one entry: an entry that uses 100 endpoints polls each
+# of them within five seconds.
+POLLS_PER_S = 20.0
+POLL_BURST = 10.0
 
 
 class LoadPoller:
@@ -25,11 +25,11 @@
     def __init__(self, router: Router, loads: LoadTable) -> None:
         self._router = router
         self._loads = loads
-        self._rate = RateLimit(0.0, REQUESTS_PER_S, REQUEST_BURST)
+        self._rate = RateLimit(0.0, POLLS_PER_S, POLL_BURST)
 
-    def due_load_requests(self, now: float) -> list[Action]:
-        """Return the load requests to send now."""
-        requests: list[Action] = []
+    def due_polls(self, now: float) -> list[Action]:
+        """Return the polls to send now."""
+        polls: list[Action] = []
         for endpoint in self._router.pop_stale_endpoints():
             # The endpoint may have been removed since the routing decision.
             if self._loads.find(endpoint) is None:
@@ -37,5 +37,5 @@
             if self._rate.wait_s(now) > 0:
                 break
             self._rate.take()
-            requests.append(PollLoad(endpoint))
-        return requests
+            polls.append(PollLoad(endpoint))
+        return polls
--- a/packages/policy/src/amaranthtally/policy/loads.py
+++ b/packages/policy/src/amaranthtally/policy/loads.py
@@ -54,8 +54,8 @@
         "models",
         "outstanding",
         "pending_prefill_tokens",
+        "polled_at",
         "pool",
-        "report_requested_at",
         "reported_at",
     )
 
@@ -66,7 +66,7 @@
         self.limit = endpoint.slots or DEFAULT_LIMIT
         self.pending_prefill_tokens = 0
         self.reported_at = -1.0
-        self.report_requested_at = -1.0
+        self.polled_at = -1.0
         self.incarnation = 0
         self.leaving = False
         self.models: frozenset[str] | None = None
@@ -179,7 +179,7 @@
     def apply_report(self, now: float, report: LoadReport) -> None:
         """Update the estimate from a load report, which may be late."""
         total = report.running + report.queued
-        # A report sent with a reply no longer counts that call; a requested report
+        # A report sent with a reply no longer counts that call; the report of a poll
         # counts all calls. Without the correction the reports would seem not to follow
         # this entry's attempts: current ones would lose their weight, and routing would
         # ignore cached prefixes.
--- a/packages/policy/src/amaranthtally/policy/membership.py
+++ b/packages/policy/src/amaranthtally/policy/membership.py
@@ -12,10 +12,10 @@
 
 __all__ = ["Membership"]
 
-LOAD_REQUEST_INTERVAL_S = 2.0
-MAX_LOAD_REQUESTS = 4
-# Endpoints that are polled for their models in turn, even if they receive no calls: as
-# many as an entry is connected to in one pool.
+POLL_INTERVAL_S = 2.0
+MAX_POLLS = 4
+# Maximum number of endpoints that are polled because their models are unconfirmed, even
+# if they receive no calls: as many as an entry is connected to in one pool.
 MAX_UNCONFIRMED = 64
 
 
@@ -98,7 +98,7 @@
         self._excluded[endpoint] = now
         self._loads.remove_from_pool(now, load)
 
-    def mark_staying(self, now: float, endpoint: str) -> None:
+    def mark_restored(self, now: float, endpoint: str) -> None:
         """Send new work again to an endpoint that was marked as leaving."""
         load = self._loads.find(endpoint)
         if load is not None:
@@ -123,15 +123,15 @@
             self._excluded.pop(load.endpoint.id, None)
             self._loads.add_to_pool(now, load)
 
-    def due_load_requests(self, now: float) -> list[Action]:
+    def due_polls(self, now: float) -> list[Action]:
         """
-        Return load requests for excluded endpoints and those with unconfirmed models.
+        Return polls of excluded endpoints and of those with unconfirmed models.
 
-        Both receive no calls, and reports are sent with replies. Without polling, a
-        sidecar that restarts under its old name would stay excluded, since only its
-        report shows the new incarnation. In a pool without requests, an endpoint that
-        has since loaded a model would still be known by its last report, and no
-        pipeline could be switched to that model.
+        Reports are sent with replies, but excluded endpoints receive no calls. Without
+        polling, a sidecar that restarts under its old name would stay excluded, since
+        only its report shows the new incarnation. Nor do the endpoints of a pool
+        without requests receive any: their last report would remain in use after they
+        have loaded a model, and no pipeline could be switched to that model.
         """
         excluded = _due(now, self._excluded)
         return [PollLoad(name) for name in excluded + _due(now, self._unconfirmed)]
@@ -144,7 +144,7 @@
         names = (e.id for e in with_models if e.takes_calls and self._is_unconfirmed(e))
         before = self._unconfirmed
         self._unconfirmed = {
-            name: before.get(name, -LOAD_REQUEST_INTERVAL_S)
+            name: before.get(name, -POLL_INTERVAL_S)
             for name in islice(names, MAX_UNCONFIRMED)
         }
 
@@ -190,14 +190,12 @@
     return models is not None and models != set(endpoint.models)
 
 
-def _due(now: float, requested_at: dict[str, float]) -> list[str]:
-    """Return the endpoints due for a load request, and note that it is sent."""
-    waiting = (
-        name for name, at in requested_at.items() if now - at >= LOAD_REQUEST_INTERVAL_S
-    )
-    due = list(islice(waiting, MAX_LOAD_REQUESTS))
+def _due(now: float, polled_at: dict[str, float]) -> list[str]:
+    """Return the endpoints that are due for a poll, and note that it is sent."""
+    waiting = (name for name, at in polled_at.items() if now - at >= POLL_INTERVAL_S)
+    due = list(islice(waiting, MAX_POLLS))
     for name in due:
         # Reinserted last, so that endpoints that never answer do not delay the others.
-        del requested_at[name]
-        requested_at[name] = now
+        del polled_at[name]
+        polled_at[name] = now
     return due
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -257,7 +257,7 @@
 
     def endpoint_restored(self, now: float, endpoint: str) -> list[Action]:
         """Use an endpoint again that was thought to leave."""
-        self._membership.mark_staying(now, endpoint)
+        self._membership.mark_restored(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
@@ -275,8 +275,8 @@
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
         self._accounts.refresh(now)
-        actions = self._membership.due_load_requests(now)
-        actions.extend(self._load_poller.due_load_requests(now))
+        actions = self._membership.due_polls(now)
+        actions.extend(self._load_poller.due_polls(now))
         actions.extend(self._inputs.free_fetched(now, self._ledger))
         actions.extend(self._follow(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
--- a/packages/policy/src/amaranthtally/policy/routing.py
+++ b/packages/policy/src/amaranthtally/policy/routing.py
@@ -143,7 +143,7 @@
                 usable.append(load)
             elif not load.leaving:
                 # The report that it has loaded the model may have been lost with a
-                # connection. Without calls no other report is sent unless requested.
+                # connection. Without calls, it sends no other report unless polled.
                 self._note_stale(now, load)
         return usable
 
@@ -204,10 +204,10 @@
         return best
 
     def _note_stale(self, now: float, load: EndpointLoad) -> None:
-        """Add an endpoint to the stale ones, unless a report was requested lately."""
+        """Add an endpoint to the stale ones, unless it was polled recently."""
         if (
-            load.report_requested_at < now - STALE_REPORT_S
+            load.polled_at < now - STALE_REPORT_S
             and len(self._stale) < MAX_STALE_ENDPOINTS
         ):
-            load.report_requested_at = now
+            load.polled_at = now
             self._stale.append(load.endpoint.id)
--- a/tests/policy/test_routing.py
+++ b/tests/policy/test_routing.py
@@ -83,10 +83,10 @@
     assert chosen[100:].count("engine-0") == 0
 
 
-def test_reports_with_replies_and_requested_reports_agree():
+def test_reports_of_replies_and_of_polls_agree():
     """
-    A report sent with a reply no longer counts that call, a requested report counts all
-    calls. When the two alternated, they were treated as stale, and routing ignored
+    A report sent with a reply no longer counts that call, the report of a poll counts
+    all calls. When the two alternated, they were treated as stale, and routing ignored
     cached prefixes: a growing thread was prefilled anew each time although its engine
     still cached it.
     """
