--- a/tests/load/days.py
+++ b/tests/load/days.py
@@ -1,4 +1,4 @@
-"""Days of the example deployments under one pattern of load or fault."""
+"""Simulated days of the example deployments, each with one load or fault pattern."""
 
 import msgspec
 
@@ -10,37 +10,38 @@
 
 
 def burst(kind, factor, start=5.0, length=6.0):
-    """Return a burst of a kind, or of all where it is empty."""
+    """Return a burst of requests of one kind, or of all kinds if it is empty."""
     return Fault("burst", start, length, kind, factor)
 
 
 def day_of(name, *faults, seconds=20.0, entries=2):
-    """Return a deployment on a day with these faults alone."""
-    found = DEPLOYMENTS[name]
+    """Return a deployment with only these faults, and this many entries in a centre."""
+    deployment = DEPLOYMENTS[name]
     centres = tuple(
-        msgspec.structs.replace(one, entries=entries) for one in found.data_centres
+        msgspec.structs.replace(centre, entries=entries)
+        for centre in deployment.data_centres
     )
     return msgspec.structs.replace(
-        found, faults=faults, seconds=seconds, data_centres=centres
+        deployment, faults=faults, seconds=seconds, data_centres=centres
     )
 
 
 def share_on_time(world, *kinds, since=0.0):
-    """Return the share of requests that were answered on time."""
-    found = _of(world, kinds, since)
-    return sum(one.ending is Ending.ON_TIME for one in found) / len(found)
+    """Return the share of requests of these kinds that were answered on time."""
+    verdicts = _verdicts_of(world, kinds, since)
+    return sum(verdict.ending is Ending.ON_TIME for verdict in verdicts) / len(verdicts)
 
 
 def share_served(world, *kinds):
-    """Return the share of requests that were answered."""
-    found = _of(world, kinds, 0.0)
+    """Return the share of requests of these kinds that were answered at all."""
+    verdicts = _verdicts_of(world, kinds, 0.0)
     served = (Ending.ON_TIME, Ending.LATE)
-    return sum(one.ending in served for one in found) / len(found)
+    return sum(verdict.ending in served for verdict in verdicts) / len(verdicts)
 
 
-def _of(world, kinds, since):
+def _verdicts_of(world, kinds, since):
     return [
-        one
-        for one in world.callers.verdicts
-        if one.kind in kinds and one.came_at > since
+        verdict
+        for verdict in world.callers.verdicts
+        if verdict.kind in kinds and verdict.came_at > since
     ]
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -1,4 +1,4 @@
-"""Which pieces share a call at an endpoint that takes one call at a time."""
+"""Tests of how pieces are batched into calls, and when their inputs are freed."""
 
 from dataclasses import replace
 
@@ -11,11 +11,11 @@
     CLUJ,
     IASI,
     POOLS,
-    ask,
-    calls,
+    calls_in,
+    completed,
     endpoint,
     endpoints,
-    made,
+    job,
 )
 
 NOW = 1.0
@@ -24,251 +24,264 @@
 
 @pytest.fixture
 def batcher():
-    found = Batcher()
-    found.configure(endpoints(CLUJ), POOLS)
-    return found
+    batcher = Batcher()
+    batcher.configure(endpoints(CLUJ), POOLS)
+    return batcher
 
 
 def requests_of(call):
     return {piece.request_id for piece in call.pieces}
 
 
-def told_of(effects, submitter=""):
-    return {one.piece.request_id: one for one in effects.reports.get(submitter, ())}
+def reports_by_request(effects, submitter=""):
+    return {
+        report.piece.request_id: report for report in effects.reports.get(submitter, ())
+    }
 
 
-def send(batcher, now, *asks):
-    """Ask and let the linger pass; return the calls."""
-    actions = batcher.take(now, asks).actions
-    return calls(actions + batcher.tick(now + LINGER_S).actions)
+def send(batcher, now, *jobs):
+    """Submit jobs and let the linger time pass; return the calls that are sent."""
+    actions = batcher.take(now, jobs).actions
+    return calls_in(actions + batcher.tick(now + LINGER_S).actions)
 
 
-def test_what_becomes_due_within_milliseconds_shares_a_call(batcher):
+def test_pieces_due_within_milliseconds_share_a_call(batcher):
     """
-    Every second request waits for a whole call. The end of one call makes pieces of
-    three requests due at the next pool; the first to arrive was sent alone.
+    When a call ends, pieces of three requests become due at the next pool within
+    milliseconds. The first was sent alone, and every second request waited for a call.
     """
-    assert batcher.take(NOW, [ask("a")]).actions == []
-    assert batcher.take(NOW + LINGER_S / 2, [ask("b"), ask("c")]).actions == []
-    (call,) = calls(batcher.tick(LATER).actions)
+    assert batcher.take(NOW, [job("a")]).actions == []
+    assert batcher.take(NOW + LINGER_S / 2, [job("b"), job("c")]).actions == []
+    (call,) = calls_in(batcher.tick(LATER).actions)
     assert requests_of(call) == {"a", "b", "c"}
 
 
 def test_a_full_call_does_not_wait(batcher):
-    small = [ask(f"r{n}", result_bytes=8e3) for n in range(CATALOGUE.batch)]
-    (call,) = calls(batcher.take(NOW, small).actions)
+    small = [job(f"r{n}", result_bytes=8e3) for n in range(CATALOGUE.batch)]
+    (call,) = calls_in(batcher.take(NOW, small).actions)
     assert len(call.pieces) == CATALOGUE.batch
 
 
 def test_an_endpoint_has_one_call_at_a_time(batcher):
     """
-    An endpoint's queue is full and its callers are refused. It works on one call at a
-    time, so that a second one would only wait there, with nothing added to it.
+    An endpoint runs one call at a time. A second call would only fill its queue, so
+    that other calls are refused, and could not be extended by later pieces.
     """
-    (first,) = send(batcher, NOW, ask("a"))
-    assert send(batcher, NOW + 0.1, ask("b"), ask("c")) == []
-    effects = batcher.call_ended(NOW + 0.3, first.call, made(first))
-    (second,) = calls(effects.actions)
+    (first,) = send(batcher, NOW, job("a"))
+    assert send(batcher, NOW + 0.1, job("b"), job("c")) == []
+    effects = batcher.call_ended(NOW + 0.3, first.call, completed(first))
+    (second,) = calls_in(effects.actions)
     assert requests_of(second) == {"b", "c"}
 
 
-def test_a_request_is_not_cut_by_the_end_of_a_call(batcher):
+def test_a_request_is_not_split_between_calls(batcher):
     """
-    A request waits for a second call though most of it was in the first. Five pieces
-    and five do not fit in eight: the second request goes whole in the next call, and
-    a third that fits takes the places.
+    A request that is split waits for a second call though most of its pieces were in
+    the first. Two requests of five pieces do not fit into a call of eight: the second
+    goes into the next call, and a third one that fits fills up the first call.
     """
     small = {"result_bytes": 8e3}
-    asks = [ask("a", n, siblings=5, **small) for n in range(5)]
-    asks += [ask("b", n, siblings=5, start_by=11.0, **small) for n in range(5)]
-    asks += [ask("c", n, siblings=3, start_by=12.0, **small) for n in range(3)]
-    (call,) = send(batcher, NOW, *asks)
+    jobs = [job("a", n, siblings=5, **small) for n in range(5)]
+    jobs += [job("b", n, siblings=5, start_by=11.0, **small) for n in range(5)]
+    jobs += [job("c", n, siblings=3, start_by=12.0, **small) for n in range(3)]
+    (call,) = send(batcher, NOW, *jobs)
     assert requests_of(call) == {"a", "c"}
 
 
-def test_a_request_larger_than_a_call_is_cut(batcher):
-    asks = [ask("a", n, result_bytes=8e3) for n in range(10)]
-    (call,) = send(batcher, NOW, *asks)
+def test_a_request_larger_than_a_call_is_split(batcher):
+    jobs = [job("a", n, result_bytes=8e3) for n in range(10)]
+    (call,) = send(batcher, NOW, *jobs)
     assert len(call.pieces) == CATALOGUE.batch
 
 
-def test_a_request_larger_than_a_call_goes_in_even_parts(batcher):
-    """Requests of nine pieces and more found no call with so many free places."""
+def test_a_request_larger_than_a_call_is_split_into_even_parts(batcher):
+    """Requests of nine pieces and more never found a call with enough room left."""
     small = {"result_bytes": 8e3}
-    asks = [ask("small", n, siblings=3, start_by=9.0, **small) for n in range(3)]
-    asks += [ask("large", n, siblings=10, **small) for n in range(10)]
-    (first,) = send(batcher, NOW, *asks)
+    jobs = [job("small", n, siblings=3, start_by=9.0, **small) for n in range(3)]
+    jobs += [job("large", n, siblings=10, **small) for n in range(10)]
+    (first,) = send(batcher, NOW, *jobs)
     assert [p.request_id for p in first.pieces] == ["small"] * 3 + ["large"] * 5
-    (second,) = calls(batcher.call_ended(NOW + 0.4, first.call, made(first)).actions)
+    (second,) = calls_in(
+        batcher.call_ended(NOW + 0.4, first.call, completed(first)).actions
+    )
     assert [p.number for p in second.pieces] == [5, 6, 7, 8, 9]
 
 
 def test_of_equally_urgent_requests_the_small_go_first(batcher):
-    """One large request, which must begin earlier to be on time, made four late."""
-    full = [ask("r", n, siblings=8, result_bytes=8e3) for n in range(8)]
+    """A large request, which must begin earlier to be on time, made four small late."""
+    full = [job("r", n, siblings=8, result_bytes=8e3) for n in range(8)]
     (first,) = send(batcher, NOW, *full)
-    large = [ask("large", n, siblings=8, start_by=9.8) for n in range(8)]
-    small = [ask(f"s{n}", start_by=10.0) for n in range(4)]
+    large = [job("large", n, siblings=8, start_by=9.8) for n in range(8)]
+    small = [job(f"s{n}", start_by=10.0) for n in range(4)]
     send(batcher, NOW + 0.1, *large, *small)
-    (second,) = calls(batcher.call_ended(NOW + 0.4, first.call, made(first)).actions)
+    (second,) = calls_in(
+        batcher.call_ended(NOW + 0.4, first.call, completed(first)).actions
+    )
     assert requests_of(second) == {"s0", "s1", "s2", "s3"}
 
 
-def test_a_call_tells_what_kept_it_from_being_full(batcher):
-    (first,) = send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
+def test_a_call_reports_why_it_is_not_full(batcher):
+    (first,) = send(batcher, NOW, *[job("a", n, siblings=8) for n in range(8)])
     assert first.facts.shortage == "full"
-    (second,) = batcher.call_ended(NOW + 0.4, first.call, made(first)).actions or (
+    (second,) = batcher.call_ended(NOW + 0.4, first.call, completed(first)).actions or (
         None,
     )
     assert second is None
-    (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
+    (second,) = send(batcher, NOW + 0.4, *[job(f"r{n}") for n in range(6)])
     assert second.facts.shortage == "memory"
     assert second.facts.waiting == 6
     assert second.facts.places == CATALOGUE.batch
 
 
-def test_a_wait_counts_only_those_that_go_before(batcher):
-    """Urgent requests left a place to less urgent ones that would let them pass."""
-    send(batcher, NOW, ask("running"))
+def test_the_predicted_wait_counts_only_pieces_that_go_before(batcher):
+    """Urgent requests avoided a site whose queued pieces were all less urgent."""
+    send(batcher, NOW, job("running"))
     for n in range(40):
-        batcher.take(NOW, [ask(f"r{n}", priority=2)])
+        batcher.take(NOW, [job(f"r{n}", priority=2)])
     urgent_s = batcher.wait_s(NOW + LINGER_S, "catalogue", CLUJ, 1)
     assert urgent_s <= CATALOGUE.full_call_s()
     waiting_s = batcher.wait_s(NOW + LINGER_S, "catalogue", CLUJ, 2)
     assert waiting_s >= 5 * CATALOGUE.full_call_s()
 
 
-def test_no_more_is_made_than_the_maker_can_keep(batcher):
+def test_a_call_holds_no_more_results_than_fit_into_memory(batcher):
     """
-    Half of a call's pieces come back without a result. Results of 1.5 MB fill the
-    17.6 MB of their maker: what is kept and what runs leaves room for three.
+    Calls returned half of their pieces without a result. The endpoint has 17.6 MB for
+    results of 1.5 MB each: eight stored ones leave room for three more.
     """
-    (first,) = send(batcher, NOW, *[ask("a", n) for n in range(8)])
-    batcher.call_ended(NOW + 0.4, first.call, made(first))
-    (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
+    (first,) = send(batcher, NOW, *[job("a", n) for n in range(8)])
+    batcher.call_ended(NOW + 0.4, first.call, completed(first))
+    (second,) = send(batcher, NOW + 0.4, *[job(f"r{n}") for n in range(6)])
     assert len(second.pieces) == 3
 
 
-def test_a_result_that_was_read_makes_room(batcher):
-    (first,) = send(batcher, NOW, *[ask("a", n) for n in range(8)])
-    told = batcher.call_ended(NOW + 0.4, first.call, made(first)).reports[""]
-    results = [StoredResult(t.handle, t.endpoint, CLUJ, 1.5e6) for t in told]
+def test_a_freed_result_makes_room_for_another(batcher):
+    (first,) = send(batcher, NOW, *[job("a", n) for n in range(8)])
+    reports = batcher.call_ended(NOW + 0.4, first.call, completed(first)).reports[""]
+    results = [StoredResult(r.handle, r.endpoint, CLUJ, 1.5e6) for r in reports]
     batcher.free(NOW + 0.4, results[:4])
-    (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(7)])
+    (second,) = send(batcher, NOW + 0.4, *[job(f"r{n}") for n in range(7)])
     assert len(second.pieces) == 7
 
 
-def test_those_on_time_go_before_the_late_and_the_urgent_before_others(batcher):
-    (_,) = send(batcher, NOW, ask("running"))
+def test_requests_on_time_go_before_late_ones_and_urgent_ones_before_others(batcher):
+    (_,) = send(batcher, NOW, job("running"))
     batcher.take(
         NOW,
         [
-            ask("late", start_by=NOW - 1.0),
-            ask("slow", priority=2, start_by=5.0),
-            *[ask("urgent", n, start_by=9.0) for n in range(6)],
+            job("late", start_by=NOW - 1.0),
+            job("slow", priority=2, start_by=5.0),
+            *[job("urgent", n, start_by=9.0) for n in range(6)],
         ],
     )
-    (call,) = calls(batcher.call_ended(NOW + 0.3, 1, made(batcher_call(1))).actions)
+    (call,) = calls_in(
+        batcher.call_ended(NOW + 0.3, 1, completed(call_with_number(1))).actions
+    )
     assert [p.request_id for p in call.pieces][:7] == ["urgent"] * 6 + ["slow"]
 
 
-def batcher_call(number):
-    """Return a call of one piece."""
-    (call,) = send(configured(), NOW, ask("running"))
+def call_with_number(number):
+    """Return a call of one piece with this call number."""
+    (call,) = send(configured_batcher(), NOW, job("running"))
     return replace(call, call=number)
 
 
-def configured():
-    found = Batcher()
-    found.configure(endpoints(CLUJ), POOLS)
-    return found
+def configured_batcher():
+    batcher = Batcher()
+    batcher.configure(endpoints(CLUJ), POOLS)
+    return batcher
 
 
-def test_the_late_are_refused_at_once_where_those_on_time_need_every_place(batcher):
+def test_late_requests_are_refused_at_once_if_those_on_time_fill_the_next_call(batcher):
     """
-    A caller is told "overloaded" after seven seconds of waiting. In a burst those on
-    time take every place, and what is late already would wait to the end of its time.
+    In a burst, requests on time take all capacity, and late ones would wait until
+    their deadline. Their callers got the refusal for overload after seven seconds.
     """
-    batcher.take(NOW, [ask("late", start_by=NOW - 0.1)])
-    crowd = [ask(f"r{n}", result_bytes=8e3) for n in range(2 * CATALOGUE.batch)]
+    batcher.take(NOW, [job("late", start_by=NOW - 0.1)])
+    crowd = [job(f"r{n}", result_bytes=8e3) for n in range(2 * CATALOGUE.batch)]
     effects = batcher.take(NOW, crowd)
-    assert told_of(effects)["late"].fault is PieceFault.LATE
+    assert reports_by_request(effects)["late"].fault is PieceFault.LATE
 
 
-def test_a_request_that_was_begun_is_not_crowded_out(batcher):
-    """Three stages were made for requests that the last one then refused as late."""
+def test_a_started_request_is_not_crowded_out(batcher):
+    """Requests were refused as late at the last of four stages, wasting three."""
     late = {"start_by": NOW - 0.1}
-    send(batcher, NOW, *[ask("a", n, siblings=8) for n in range(8)])
-    begun = ask("begun", is_started=True, **late)
-    on_time = [ask(f"r{n}") for n in range(9)]
-    told = batcher.take(NOW + 0.1, [begun, ask("new", **late), *on_time]).reports
-    assert {one.piece.request_id for one in told[""]} == {"new"}
+    send(batcher, NOW, *[job("a", n, siblings=8) for n in range(8)])
+    started = job("started", is_started=True, **late)
+    on_time = [job(f"r{n}") for n in range(9)]
+    reports = batcher.take(NOW + 0.1, [started, job("new", **late), *on_time]).reports
+    assert {report.piece.request_id for report in reports[""]} == {"new"}
 
 
-def test_the_late_are_made_where_there_is_a_place(batcher):
-    (call,) = send(batcher, NOW, ask("late", start_by=NOW - 0.1), ask("on_time"))
+def test_late_requests_run_if_there_is_capacity(batcher):
+    (call,) = send(batcher, NOW, job("late", start_by=NOW - 0.1), job("on_time"))
     assert requests_of(call) == {"late", "on_time"}
 
 
-def test_a_refused_call_is_sent_again_and_nobody_is_told(batcher):
-    (first,) = send(batcher, NOW, ask("a"))
+def test_a_refused_call_is_sent_again_without_a_report(batcher):
+    (first,) = send(batcher, NOW, job("a"))
     effects = batcher.call_ended(NOW + 0.1, first.call, PiecesEnded(refused=True))
     assert effects.reports == {}
-    (second,) = calls(batcher.tick(NOW + 0.5).actions)
+    (second,) = calls_in(batcher.tick(NOW + 0.5).actions)
     assert requests_of(second) == {"a"}
 
 
-def test_a_lost_call_is_told_so_that_it_is_made_elsewhere(batcher):
-    (first,) = send(batcher, NOW, ask("a", submitter="peer"))
+def test_a_lost_call_is_reported_so_that_its_pieces_run_elsewhere(batcher):
+    (first,) = send(batcher, NOW, job("a", submitter="peer"))
     effects = batcher.call_ended(NOW + 0.1, first.call, PiecesEnded())
-    assert told_of(effects, "peer")["a"].fault is PieceFault.FAILED
+    assert reports_by_request(effects, "peer")["a"].fault is PieceFault.FAILED
 
 
-def test_pieces_at_a_place_without_endpoints_are_given_back(batcher):
-    effects = batcher.take(NOW, [ask("a", place=IASI)])
-    assert told_of(effects)["a"].fault is PieceFault.FAILED
+def test_pieces_at_a_site_without_endpoints_are_reported_as_failed(batcher):
+    effects = batcher.take(NOW, [job("a", data_centre=IASI)])
+    assert reports_by_request(effects)["a"].fault is PieceFault.FAILED
 
 
-def test_a_piece_that_is_asked_for_twice_is_made_once(batcher):
+def test_a_piece_that_is_submitted_twice_is_computed_once(batcher):
     """
-    An endpoint computes the same piece twice. Its submitter got no report for long, as
-    the report was lost or the endpoint is slow, and submitted the job again.
+    A submitter that gets no report in time submits the job again, as the report may be
+    lost or the endpoint slow. The endpoint computed the same piece twice.
     """
-    (first,) = send(batcher, NOW, ask("a"))
-    batcher.take(NOW + 0.1, [ask("a"), ask("b"), ask("b")])
-    (second,) = calls(batcher.call_ended(NOW + 0.3, first.call, made(first)).actions)
+    (first,) = send(batcher, NOW, job("a"))
+    batcher.take(NOW + 0.1, [job("a"), job("b"), job("b")])
+    (second,) = calls_in(
+        batcher.call_ended(NOW + 0.3, first.call, completed(first)).actions
+    )
     assert [p.request_id for p in second.pieces] == ["b"]
 
 
-def test_a_request_that_has_ended_is_not_made(batcher):
-    batcher.take(NOW, [ask("gone"), ask("a")])
-    batcher.withdraw("gone")
-    (call,) = calls(batcher.tick(LATER).actions)
+def test_pieces_of_a_request_that_has_ended_are_not_computed(batcher):
+    batcher.take(NOW, [job("ended"), job("a")])
+    batcher.withdraw("ended")
+    (call,) = calls_in(batcher.tick(LATER).actions)
     assert requests_of(call) == {"a"}
 
 
-def test_a_leaving_entry_hands_back_what_waits(batcher):
-    batcher.take(NOW, [ask("a", submitter="peer")])
-    assert told_of(batcher.hand_back(), "peer")["a"].fault is PieceFault.HANDED_BACK
+def test_a_leaving_entry_returns_its_queued_jobs(batcher):
+    batcher.take(NOW, [job("a", submitter="peer")])
+    assert (
+        reports_by_request(batcher.hand_back(), "peer")["a"].fault
+        is PieceFault.HANDED_BACK
+    )
     assert not batcher.is_busy
 
 
-def test_an_endpoint_that_leaves_gets_no_call(batcher):
+def test_a_leaving_endpoint_gets_no_call(batcher):
     leaving = endpoint("catalogue-cluj-a", takes_calls=False)
     batcher.configure({leaving.id: leaving}, POOLS)
-    effects = batcher.take(NOW, [ask("a")])
+    effects = batcher.take(NOW, [job("a")])
     assert effects.actions == []
-    assert told_of(effects)["a"].fault is PieceFault.FAILED
+    assert reports_by_request(effects)["a"].fault is PieceFault.FAILED
 
 
-# Inputs
+# Freeing of inputs
 
 
 INPUT = StoredResult("in", "maker", CLUJ, 60e3)
 
 
-def reading(name, number=0, siblings=1, **options):
-    return ask(
+def job_with_input(name, number=0, siblings=1, **options):
+    return job(
         name,
         number,
         pool="ledger",
@@ -280,91 +293,94 @@
     )
 
 
-def alone(batcher):
-    """Let a call at the ledger show that nobody else calls it; return the time."""
-    warming = ask("w", pool="ledger", result_bytes=6e3)
-    (call,) = send(batcher, NOW - 0.3, warming)
-    batcher.call_ended(NOW - 0.05, call.call, made(call))
+def make_only_caller(batcher):
+    """Run a call at the ledger that shows no other caller; return the time after."""
+    first_job = job("w", pool="ledger", result_bytes=6e3)
+    (call,) = send(batcher, NOW - 0.3, first_job)
+    batcher.call_ended(NOW - 0.05, call.call, completed(call))
     return NOW
 
 
-def test_inputs_are_kept_where_another_entry_may_call_the_endpoint(batcher):
+def test_inputs_are_kept_if_another_entry_may_call_the_endpoint(batcher):
     """
-    A request waits for seconds and is made from its first stage on again and again.
-    Entries restart one after the other, two call one endpoint for a while, and what a
-    call was to read was freed while it waited there for the other entry's call.
+    While entries restart in turn, two of them call one endpoint for a while. The inputs
+    of a call were freed while it waited there for the other entry's call, and requests
+    were recomputed from their first stage on, again and again.
     """
-    (first,) = send(batcher, NOW, reading("a"))
+    (first,) = send(batcher, NOW, job_with_input("a"))
     assert batcher.tick(LATER + 0.1).consumed == []
-    # It took as long as two calls: another entry's was before it.
-    effects = batcher.call_ended(LATER + 0.5, first.call, made(first))
-    assert not any(one.inputs_freed for one in effects.reports[""])
-    send(batcher, LATER + 0.5, reading("b"))
+    # The call took as long as two: it waited for a call of another entry.
+    effects = batcher.call_ended(LATER + 0.5, first.call, completed(first))
+    assert not any(report.inputs_freed for report in effects.reports[""])
+    send(batcher, LATER + 0.5, job_with_input("b"))
     assert batcher.tick(LATER + 0.7).consumed == []
 
 
-def test_inputs_are_kept_where_the_endpoint_tells_of_another_call(batcher):
-    now = alone(batcher)
-    (first,) = send(batcher, now, reading("a"))
-    end = replace(made(first), running=1, queued=0)
+def test_inputs_are_kept_if_the_endpoint_reports_another_call(batcher):
+    now = make_only_caller(batcher)
+    (first,) = send(batcher, now, job_with_input("a"))
+    end = replace(completed(first), running=1, queued=0)
     batcher.call_ended(now + 0.25, first.call, end)
-    send(batcher, now + 0.25, reading("b"))
+    send(batcher, now + 0.25, job_with_input("b"))
     assert batcher.tick(now + 0.4).consumed == []
 
 
 def test_inputs_are_freed_once_the_call_has_read_them(batcher):
     """
-    A maker has no room though its results are read. They were kept to the end of the
-    call that reads them, 0.3 s after it had.
+    Results that had been read filled their endpoint's memory, since they were freed at
+    the end of the call that reads them, 0.3 s later.
     """
-    alone(batcher)
-    (call,) = send(batcher, NOW, reading("a", 0, 2), reading("a", 1, 2))
+    make_only_caller(batcher)
+    (call,) = send(batcher, NOW, job_with_input("a", 0, 2), job_with_input("a", 1, 2))
     assert batcher.tick(LATER + 0.01).consumed == []
     assert batcher.tick(LATER + 0.1).consumed == [INPUT]
-    told = batcher.call_ended(LATER + 0.3, call.call, made(call)).reports[""]
-    assert all(one.inputs_freed for one in told)
+    reports = batcher.call_ended(LATER + 0.3, call.call, completed(call)).reports[""]
+    assert all(report.inputs_freed for report in reports)
 
 
-def test_inputs_are_kept_where_a_sibling_is_still_to_read_them(batcher):
-    alone(batcher)
-    (_,) = send(batcher, NOW, reading("a", 0, siblings=2))
+def test_inputs_are_kept_if_a_sibling_has_not_read_them(batcher):
+    make_only_caller(batcher)
+    (_,) = send(batcher, NOW, job_with_input("a", 0, siblings=2))
     assert batcher.tick(LATER + 0.1).consumed == []
 
 
-def test_inputs_are_kept_where_the_call_had_no_room(batcher):
+def test_inputs_are_kept_if_the_endpoint_had_no_room(batcher):
     """
-    A piece is asked for without its inputs. Its call came back in milliseconds, as
-    the endpoint had no room, and its inputs were freed a moment later all the same.
+    A call ended within milliseconds, as the endpoint had no room for the result. The
+    inputs were freed a moment later, and the piece was sent again without them.
     """
-    alone(batcher)
-    (call,) = send(batcher, NOW, reading("a"))
+    make_only_caller(batcher)
+    (call,) = send(batcher, NOW, job_with_input("a"))
     full = PiecesEnded((PieceOutcome(fault=PieceFault.NO_ROOM),))
     assert batcher.call_ended(LATER + 0.01, call.call, full).reports == {}
     assert batcher.tick(LATER + 0.1).consumed == []
-    (again,) = calls(batcher.tick(LATER + 0.5).actions)
+    (again,) = calls_in(batcher.tick(LATER + 0.5).actions)
     assert again.pieces[0].inputs == ("in",)
 
 
-def test_a_piece_without_room_after_its_inputs_were_freed_is_told(batcher):
-    alone(batcher)
-    (call,) = send(batcher, NOW, reading("a", 0, 2), reading("a", 1, 2))
+def test_a_piece_without_room_after_its_inputs_were_freed_is_reported(batcher):
+    make_only_caller(batcher)
+    (call,) = send(batcher, NOW, job_with_input("a", 0, 2), job_with_input("a", 1, 2))
     assert batcher.tick(LATER + 0.1).consumed == [INPUT]
     outcomes = (PieceOutcome("h"), PieceOutcome(fault=PieceFault.NO_ROOM))
     effects = batcher.call_ended(LATER + 0.3, call.call, PiecesEnded(outcomes))
-    assert [t.fault for t in effects.reports[""]] == [None, PieceFault.INPUT_MISSING]
+    assert [report.fault for report in effects.reports[""]] == [
+        None,
+        PieceFault.INPUT_MISSING,
+    ]
 
 
-def test_an_endpoint_that_became_slow_is_predicted_to_stay_so(batcher):
+def test_an_endpoint_that_became_slow_is_predicted_to_stay_slow(batcher):
     """
-    A third of all requests are late. One endpoint of three works four times slower, and
-    each call there was predicted to take as long as elsewhere.
+    One endpoint of three became four times slower, and calls there were predicted to
+    take as long as elsewhere. A third of all requests were late.
     """
     now = NOW
     usual_s = 0.2 + 0.02125
     for name in ("a", "b", "c"):
-        (call,) = send(batcher, now, ask(name))
+        (call,) = send(batcher, now, job(name))
         now += LINGER_S + 4.0 * usual_s
-        batcher.call_ended(now, call.call, made(call))
+        batcher.call_ended(now, call.call, completed(call))
         batcher.free(
             now, [StoredResult(f"{call.endpoint}/{name}.0.0", call.endpoint, CLUJ, 0)]
         )
@@ -372,6 +388,6 @@
     assert batcher.slowdown_s(now + 60.0, "catalogue", CLUJ) == 0.0
 
 
-def test_a_slow_endpoint_is_given_the_time_that_it_takes(batcher):
-    (call,) = send(batcher, NOW, ask("a"))
+def test_the_time_out_of_a_call_allows_for_a_slow_endpoint(batcher):
+    (call,) = send(batcher, NOW, job("a"))
     assert call.timeout_s >= 5.0 * (0.2 + 0.02125)
--- a/tests/policy/test_caller_departures.py
+++ b/tests/policy/test_caller_departures.py
@@ -1,4 +1,4 @@
-"""Callers of streams leave long before their deadline where nothing comes."""
+"""Tests that pieces are not computed for callers that will have disconnected."""
 
 from amaranthtally.policy import (
     Outcome,
@@ -14,12 +14,14 @@
 from tests.policy.support import Feeder, endpoints, one_stage, planner
 
 NOW = 1.0
-DEADLINE_S, PATIENCE_S = 20.0, 5.0
+DEADLINE_S, CALLER_TIMEOUT_S = 20.0, 5.0
 
 
 def feeder():
-    found = endpoints("engine") | {"catalogue": endpoint("catalogue", place=CLUJ)}
-    return Feeder(planner(found, pools=POOLS), one_stage())
+    all_endpoints = endpoints("engine") | {
+        "catalogue": endpoint("catalogue", data_centre=CLUJ)
+    }
+    return Feeder(planner(all_endpoints, pools=POOLS), one_stage())
 
 
 def arrive(feeder, now=NOW, pieces=1, **options):
@@ -32,43 +34,44 @@
 
 
 def fill(feeder, seconds):
-    """Let requests wait that need so many seconds of the endpoint."""
+    """Queue requests that keep the endpoint busy for this many seconds."""
     calls = round(seconds / CATALOGUE.full_call_s())
     for _ in range(calls):
         assert not refusals(arrive(feeder, pieces=CATALOGUE.batch))
 
 
-def test_what_can_not_begin_before_its_caller_leaves_is_refused_at_once():
+def test_a_request_that_can_not_begin_before_its_caller_leaves_is_refused_at_once():
     """
-    Callers of the least urgent kind leave without an answer in a burst. They say that
-    they would wait for 20 s and leave a silent stream after nine; they were queued for
-    eight, and a twentieth of all stage work was done for callers that had gone.
+    In a burst, callers of the least urgent kind disconnected without an answer. Their
+    requests had a deadline of 20 s, but these callers close a stream without events
+    after nine seconds. The requests were queued for eight, and a twentieth of all stage
+    work was done for callers that had disconnected.
     """
     crowded = feeder()
-    fill(crowded, PATIENCE_S + 1.0)
-    (refusal,) = refusals(arrive(crowded, leaves_at=NOW + PATIENCE_S))
+    fill(crowded, CALLER_TIMEOUT_S + 1.0)
+    (refusal,) = refusals(arrive(crowded, leaves_at=NOW + CALLER_TIMEOUT_S))
     assert refusal.reason is Reason.OVERLOAD
     assert refusal.retry_after_s >= 1.0
     assert not refusals(arrive(crowded))
 
 
-def test_a_patient_caller_is_served():
+def test_a_caller_that_waits_long_enough_is_served():
     calm = feeder()
-    actions = arrive(calm, leaves_at=NOW + PATIENCE_S)
+    actions = arrive(calm, leaves_at=NOW + CALLER_TIMEOUT_S)
     actions += calm.planner.tick(NOW + 0.1)
     assert [a for a in actions if isinstance(a, RunPieces)]
 
 
-def test_a_piece_is_not_made_once_its_caller_will_have_left():
-    """The endpoint hangs; what waits for it is given up when its caller leaves."""
+def test_a_piece_is_not_computed_once_its_caller_will_have_left():
+    """A piece's deadline is not after the time at which its caller leaves."""
     stuck = feeder()
-    arrive(stuck, leaves_at=NOW + PATIENCE_S)
+    arrive(stuck, leaves_at=NOW + CALLER_TIMEOUT_S)
     (call,) = [a for a in stuck.planner.tick(NOW + 0.1) if isinstance(a, RunPieces)]
-    assert call.pieces[0].deadline <= NOW + PATIENCE_S
+    assert call.pieces[0].deadline <= NOW + CALLER_TIMEOUT_S
 
 
-def test_a_piece_is_not_made_once_its_engine_would_have_no_time_to_answer():
-    """Callers are held to their deadline for results that no engine can use in time."""
+def test_a_piece_is_not_computed_once_its_engine_would_have_no_time_to_answer():
+    """Callers waited until their deadline for results that no engine could use."""
     engine_s = 3.0
     slow = feeder()
     slow.teach(run_s=engine_s)
@@ -79,8 +82,8 @@
     assert call.pieces[0].deadline <= now + DEADLINE_S - 0.9 * engine_s - call_s
 
 
-def test_what_is_ready_too_late_for_its_engine_is_told_when_to_come_back():
-    """Callers are told 504, "the deadline passed", seconds before it has."""
+def test_a_request_ready_too_late_for_its_engine_is_refused_with_a_retry_time():
+    """Callers got status 504, "the deadline passed", seconds before it had."""
     engine_s = 3.0
     slow = feeder()
     slow.teach(run_s=engine_s)
@@ -90,6 +93,6 @@
     (call,) = [a for a in slow.planner.tick(now + 0.1) if isinstance(a, RunPieces)]
     late = now + DEADLINE_S - 0.5 * engine_s
     made = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
-    (refused,) = refusals(slow.planner.pieces_ended(late, call.call, made))
-    assert (refused.reason, refused.outcome) == (Reason.OVERLOAD, Outcome.NOT_RUN)
-    assert refused.retry_after_s > 0
+    (refusal,) = refusals(slow.planner.pieces_ended(late, call.call, made))
+    assert (refusal.reason, refusal.outcome) == (Reason.OVERLOAD, Outcome.NOT_RUN)
+    assert refusal.retry_after_s > 0
--- a/tests/policy/test_piece_graph.py
+++ b/tests/policy/test_piece_graph.py
@@ -1,4 +1,4 @@
-"""Which pieces of a request are due, and what is made again when results are lost."""
+"""Tests of which pieces of a request are due, and which run again after a loss."""
 
 from amaranthtally.policy import Piece, StoredResult
 from amaranthtally.policy.piece_graph import PieceGraph
@@ -9,8 +9,8 @@
     return StoredResult(f"h{piece.stage}.{piece.number}", "maker", "cluj-a", 1.0)
 
 
-def make_due(graph):
-    """Make every piece that is due, and return them."""
+def complete_due(graph):
+    """Complete every piece that is due, and return them."""
     due = graph.take_due()
     for piece in due:
         graph.mark_running(piece)
@@ -32,11 +32,11 @@
 def test_a_request_reads_the_stages_that_no_other_reads():
     graph = PieceGraph("r", REPLY, (2, 1, 3, 1))
     while not graph.is_done:
-        assert make_due(graph)
+        assert complete_due(graph)
     assert [r.handle for r in graph.request_inputs()] == ["h0.0", "h0.1", "h3.0"]
 
 
-def test_a_request_is_begun_once_a_piece_is_made():
+def test_a_request_is_started_once_a_piece_is_done():
     graph = PieceGraph("r", LOOKUP, (1, 6, 10))
     (piece,) = graph.take_due()
     graph.mark_running(piece)
@@ -45,7 +45,7 @@
     assert graph.is_started
 
 
-def test_a_stage_without_pieces_is_left_out():
+def test_a_stage_without_pieces_is_skipped():
     graph = PieceGraph("r", CLAIM, (0,))
     assert graph.is_done
     assert graph.take_due() == []
@@ -53,39 +53,40 @@
     assert [p.stage for p in graph.take_due()] == [1]
 
 
-def test_a_lost_input_is_made_again_and_what_was_freed_before_it():
+def test_a_lost_input_is_recomputed_with_the_freed_results_that_it_needs():
     """
-    A maker restarts and a piece finds its input gone. What that input was made from
-    has been read and freed long ago: both stages run again, and nothing is sent with
-    some of its inputs.
+    An endpoint restarts and loses the input of a piece. The results that this input was
+    computed from were freed long ago, so both stages run again, and no piece is sent
+    with only some of its inputs.
     """
     graph = PieceGraph("r", LOOKUP, (1, 2, 1))
-    make_due(graph)
-    make_due(graph)
+    complete_due(graph)
+    complete_due(graph)
     assert {r.handle for r in graph.take_consumed()} == {"h0.0"}
     (last,) = graph.take_due()
     graph.mark_running(last)
-    lost = graph.invalidate_inputs_of(last)
-    assert {r.handle for r in lost} == {"h1.0", "h1.1"}
-    assert [p.stage for p in make_due(graph)] == [0]
-    assert [p.stage for p in make_due(graph)] == [1, 1]
+    to_free = graph.invalidate_inputs_of(last)
+    assert {r.handle for r in to_free} == {"h1.0", "h1.1"}
+    assert [p.stage for p in complete_due(graph)] == [0]
+    assert [p.stage for p in complete_due(graph)] == [1, 1]
     assert [p.stage for p in graph.take_due()] == [2]
     assert graph.has_inputs(last)
 
 
 def test_siblings_of_a_piece_that_lost_its_inputs_wait_for_them_too():
     """
-    Two pieces of one stage read the same result. One call had no room for the second
-    after the result was freed: it is not due before the result is there again.
+    Two pieces of one stage read the same result. After the result was freed, the
+    endpoint had no room for the second piece. It is due only once the result is stored
+    again.
     """
     graph = PieceGraph("r", LOOKUP, (1, 2, 1))
-    make_due(graph)
+    complete_due(graph)
     first, second = graph.take_due()
     graph.mark_running(first)
     graph.mark_running(second)
     graph.discard_inputs_of(first)
     graph.mark_done(first, stored(first))
     graph.invalidate_inputs_of(second)
-    assert [p.stage for p in make_due(graph)] == [0]
+    assert [p.stage for p in complete_due(graph)] == [0]
     assert graph.take_due() == [second]
     assert graph.has_inputs(second)
--- a/tests/policy/test_pool_sites.py
+++ b/tests/policy/test_pool_sites.py
@@ -1,4 +1,4 @@
-"""Which entry calls the endpoints for pieces of a data centre."""
+"""Tests of the ownership of pool sites, and of where pieces run."""
 
 import pytest
 
@@ -10,22 +10,22 @@
 NOW = 1.0
 
 
-def places_of(peer, peers=PEERS):
-    found = PoolSites()
-    found.configure(peer.name, peer.data_centre, peer.data_centre)
-    found.replace_peers(peers)
-    return found
+def sites_of(peer, peers=PEERS):
+    sites = PoolSites()
+    sites.configure(peer.name, peer.data_centre, peer.data_centre)
+    sites.replace_peers(peers)
+    return sites
 
 
 def owner_as_seen_by(peer, *args, **options):
-    return places_of(peer, **options).owner(NOW, *args) or peer.name
+    return sites_of(peer, **options).owner(NOW, *args) or peer.name
 
 
 @pytest.mark.parametrize("pool", ["catalogue", "roster", "ledger"])
 def test_all_entries_agree_on_one_owner_in_the_same_data_centre(pool):
     """
-    Six entries call one endpoint, and a fifth of their calls is refused. They have
-    nobody to ask who is to call it: each works it out from the same list.
+    When six entries call one endpoint, a fifth of their calls are refused. Each entry
+    computes the owner from the same list, without communication.
     """
     owners = {owner_as_seen_by(peer, pool, CLUJ) for peer in PEERS}
     assert len(owners) == 1
@@ -33,137 +33,140 @@
 
 
 def test_without_an_entry_in_the_data_centre_another_owns_it():
-    away = [peer for peer in PEERS if peer.data_centre == IASI]
-    owners = {owner_as_seen_by(p, "roster", CLUJ, peers=away) for p in away}
+    elsewhere = [peer for peer in PEERS if peer.data_centre == IASI]
+    owners = {owner_as_seen_by(p, "roster", CLUJ, peers=elsewhere) for p in elsewhere}
     assert len(owners) == 1
 
 
-def test_a_peer_that_does_not_answer_is_asked_for_nothing_for_a_while():
-    found = places_of(PEERS[5])
-    owner = found.owner(NOW, "roster", CLUJ)
-    found.peer_failed(NOW, owner)
-    assert found.owner(NOW + 1.0, "roster", CLUJ) != owner
-    assert found.owner(NOW + 10.0, "roster", CLUJ) == owner
+def test_a_peer_that_does_not_answer_owns_nothing_for_a_while():
+    sites = sites_of(PEERS[5])
+    owner = sites.owner(NOW, "roster", CLUJ)
+    sites.peer_failed(NOW, owner)
+    assert sites.owner(NOW + 1.0, "roster", CLUJ) != owner
+    assert sites.owner(NOW + 10.0, "roster", CLUJ) == owner
 
 
 def test_a_peer_that_answers_again_owns_its_endpoints_at_once():
     """
-    All entries lose power and start again within half a second. The first one to be
-    back finds the ports of the others closed and left them alone for three seconds:
-    two entries called each endpoint, and filled its queue and memory for each other.
+    After a loss of power, all entries start again within half a second. The first one
+    finds the ports of the others closed. It avoided them for three seconds, so that two
+    entries called each endpoint, and their calls competed for its queue and memory.
     """
-    found = places_of(PEERS[5])
-    owner = found.owner(NOW, "roster", CLUJ)
-    found.peer_failed(NOW, owner)
-    assert found.unavailable_peers(NOW + 0.1) == {owner}
-    found.peer_recovered(owner)
-    assert found.unavailable_peers(NOW + 0.1) == frozenset()
-    assert found.owner(NOW + 0.1, "roster", CLUJ) == owner
+    sites = sites_of(PEERS[5])
+    owner = sites.owner(NOW, "roster", CLUJ)
+    sites.peer_failed(NOW, owner)
+    assert sites.unavailable_peers(NOW + 0.1) == {owner}
+    sites.peer_recovered(owner)
+    assert sites.unavailable_peers(NOW + 0.1) == frozenset()
+    assert sites.owner(NOW + 0.1, "roster", CLUJ) == owner
 
 
-def test_a_peer_that_has_gone_for_good_is_not_looked_after():
-    found = places_of(PEERS[5])
-    owner = found.owner(NOW, "roster", CLUJ)
-    found.peer_failed(NOW, owner)
-    found.replace_peers([peer for peer in PEERS if peer.name != owner])
-    assert found.unavailable_peers(NOW + 0.1) == frozenset()
+def test_a_peer_that_was_removed_is_not_listed_as_unavailable():
+    sites = sites_of(PEERS[5])
+    owner = sites.owner(NOW, "roster", CLUJ)
+    sites.peer_failed(NOW, owner)
+    sites.replace_peers([peer for peer in PEERS if peer.name != owner])
+    assert sites.unavailable_peers(NOW + 0.1) == frozenset()
 
 
 def test_a_leaving_entry_owns_nothing():
     """
-    A piece waits in an entry that ends. It went on taking itself for the owner after
-    it had begun to leave.
+    An entry that was shutting down still took itself for the owner, and pieces were
+    queued there.
     """
     owner = owner_as_seen_by(PEERS[0], "roster", CLUJ)
     (peer,) = [p for p in PEERS if p.name == owner]
-    found = places_of(peer)
-    assert found.owner(NOW, "roster", CLUJ) == ""
-    found.leave()
-    assert found.owner(NOW, "roster", CLUJ) not in ("", owner)
+    sites = sites_of(peer)
+    assert sites.owner(NOW, "roster", CLUJ) == ""
+    sites.leave()
+    assert sites.owner(NOW, "roster", CLUJ) not in ("", owner)
 
 
-def test_an_entry_alone_owns_everything_also_as_it_leaves():
-    found = places_of(PEERS[0], peers=[])
-    found.leave()
-    assert found.owner(NOW, "roster", IASI) == ""
+def test_the_only_entry_owns_everything_even_while_it_leaves():
+    sites = sites_of(PEERS[0], peers=[])
+    sites.leave()
+    assert sites.owner(NOW, "roster", IASI) == ""
 
 
-CANDIDATES = {CLUJ: endpoint("c", place=CLUJ), IASI: endpoint("i", place=IASI)}
+CANDIDATES = {
+    CLUJ: endpoint("c", data_centre=CLUJ),
+    IASI: endpoint("i", data_centre=IASI),
+}
 
 
-def test_pieces_run_near_unless_the_wait_is_longer():
-    found = places_of(PEERS[0])
-    assert found.best_data_centre(NOW, "roster", CANDIDATES) == CLUJ
-    found.update_wait(NOW, "roster", CLUJ, 1.0)
-    assert found.best_data_centre(NOW, "roster", CANDIDATES) == IASI
+def test_pieces_run_in_the_own_data_centre_unless_the_wait_is_longer():
+    sites = sites_of(PEERS[0])
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES) == CLUJ
+    sites.update_wait(NOW, "roster", CLUJ, 1.0)
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES) == IASI
 
 
-def test_large_results_are_worth_a_wait_to_a_request_that_can_spare_it():
+def test_a_request_with_spare_time_waits_to_keep_large_results_local():
     """
-    Results of 1.5 MB cross regions on a calm day, where each is paid for by the byte,
-    to save their request a tenth of a second of a whole one that it had left.
+    At low load, results of 1.5 MB crossed regions, which is paid for by the byte, to
+    save a tenth of a second for requests that had a whole second to spare.
     """
-    found = places_of(PEERS[0])
-    found.update_wait(NOW, "roster", CLUJ, 0.2)
-    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 1.2) == CLUJ
-    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 0.2) == IASI
-    assert found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 6e3}, 1.2) == IASI
+    sites = sites_of(PEERS[0])
+    sites.update_wait(NOW, "roster", CLUJ, 0.2)
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 1.2) == CLUJ
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, 0.2) == IASI
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 6e3}, 1.2) == IASI
     assert (
-        found.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, -1.0) == IASI
+        sites.best_data_centre(NOW, "roster", CANDIDATES, {CLUJ: 1.5e6}, -1.0) == IASI
     )
 
 
-def test_a_slow_place_is_left_to_others_after_its_queue_is_gone():
+def test_a_slow_site_is_avoided_after_its_queue_has_drained():
     """
-    An endpoint that works four times slower is always busy. Its queue and its speed
-    were told as one wait, which had run out a second later.
+    An endpoint that worked four times slower was always busy. Its queue and its
+    slowness were reported as one wait, which had elapsed a second later.
     """
-    found = places_of(PEERS[0])
-    found.update_wait(NOW, "roster", CLUJ, 0.3, 1.1)
-    assert found.best_data_centre(NOW + 2.0, "roster", CANDIDATES) == IASI
-    assert found.best_data_centre(NOW + 30.0, "roster", CANDIDATES) == CLUJ
+    sites = sites_of(PEERS[0])
+    sites.update_wait(NOW, "roster", CLUJ, 0.3, 1.1)
+    assert sites.best_data_centre(NOW + 2.0, "roster", CANDIDATES) == IASI
+    assert sites.best_data_centre(NOW + 30.0, "roster", CANDIDATES) == CLUJ
 
 
-def test_waits_are_known_by_rank():
-    """Urgent requests waited for one place beside another that let them pass."""
-    found = places_of(PEERS[0])
-    found.update_wait(NOW, "roster", CLUJ, 2.0, rank=2)
-    assert found.best_data_centre(NOW, "roster", CANDIDATES, rank=1) == CLUJ
-    assert found.best_data_centre(NOW, "roster", CANDIDATES, rank=2) == IASI
-    found.update_wait(NOW, "roster", CLUJ, 1.0, rank=0)
-    assert found.wait_s(NOW, "roster", CLUJ, 1) == 1.0
-    assert found.wait_s(NOW, "roster", CLUJ, 2) == 2.0
+def test_waits_are_recorded_by_rank():
+    """Urgent requests avoided a site where they would overtake all queued pieces."""
+    sites = sites_of(PEERS[0])
+    sites.update_wait(NOW, "roster", CLUJ, 2.0, rank=2)
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES, rank=1) == CLUJ
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES, rank=2) == IASI
+    sites.update_wait(NOW, "roster", CLUJ, 1.0, rank=0)
+    assert sites.wait_s(NOW, "roster", CLUJ, 1) == 1.0
+    assert sites.wait_s(NOW, "roster", CLUJ, 2) == 2.0
 
 
-def test_what_an_urgent_request_asks_for_counts_for_the_less_urgent():
-    found = places_of(PEERS[0])
-    found.update_wait(NOW, "roster", CLUJ, 0.2, rank=2)
-    found.note_submitted(NOW, "roster", CLUJ, 0.5, rank=1)
-    assert found.wait_s(NOW, "roster", CLUJ, 0) == 0.0
-    assert found.wait_s(NOW, "roster", CLUJ, 1) == 0.5
-    assert found.wait_s(NOW, "roster", CLUJ, 2) == pytest.approx(0.7)
+def test_submitted_pieces_add_to_the_waits_of_less_urgent_ranks():
+    sites = sites_of(PEERS[0])
+    sites.update_wait(NOW, "roster", CLUJ, 0.2, rank=2)
+    sites.note_submitted(NOW, "roster", CLUJ, 0.5, rank=1)
+    assert sites.wait_s(NOW, "roster", CLUJ, 0) == 0.0
+    assert sites.wait_s(NOW, "roster", CLUJ, 1) == 0.5
+    assert sites.wait_s(NOW, "roster", CLUJ, 2) == pytest.approx(0.7)
 
 
-def test_what_was_asked_for_counts_until_the_place_is_heard_of():
+def test_submitted_pieces_add_to_the_wait_until_the_next_report():
     """
-    A burst goes to one data centre while two stand idle: nothing is heard of a place
-    before its first call ends.
+    A burst went to one data centre while two others were idle, as there is no report
+    from a site before its first call ends.
     """
-    found = places_of(PEERS[0])
+    sites = sites_of(PEERS[0])
     for _ in range(20):
-        found.note_submitted(NOW, "roster", CLUJ, 0.05)
-    assert found.best_data_centre(NOW, "roster", CANDIDATES) == IASI
+        sites.note_submitted(NOW, "roster", CLUJ, 0.05)
+    assert sites.best_data_centre(NOW, "roster", CANDIDATES) == IASI
 
 
-def test_a_place_that_failed_is_left_alone_and_tried_again():
-    found = places_of(PEERS[0])
-    found.note_failure(NOW, "roster", CLUJ)
-    assert found.best_data_centre(NOW + 0.1, "roster", CANDIDATES) == IASI
-    assert found.best_data_centre(NOW + 5.0, "roster", CANDIDATES) == CLUJ
+def test_a_site_that_failed_is_avoided_and_tried_again_later():
+    sites = sites_of(PEERS[0])
+    sites.note_failure(NOW, "roster", CLUJ)
+    assert sites.best_data_centre(NOW + 0.1, "roster", CANDIDATES) == IASI
+    assert sites.best_data_centre(NOW + 5.0, "roster", CANDIDATES) == CLUJ
 
 
-def test_the_only_place_is_used_though_it_failed():
-    found = places_of(PEERS[0])
-    found.note_failure(NOW, "roster", CLUJ)
-    assert found.best_data_centre(NOW, "roster", {CLUJ: CANDIDATES[CLUJ]}) == CLUJ
-    assert found.best_data_centre(NOW, "roster", {}) is None
+def test_the_only_site_is_used_though_it_failed():
+    sites = sites_of(PEERS[0])
+    sites.note_failure(NOW, "roster", CLUJ)
+    assert sites.best_data_centre(NOW, "roster", {CLUJ: CANDIDATES[CLUJ]}) == CLUJ
+    assert sites.best_data_centre(NOW, "roster", {}) is None
--- a/tests/policy/test_request_inputs.py
+++ b/tests/policy/test_request_inputs.py
@@ -1,4 +1,4 @@
-"""Results that a request reads stay where they are until its engine has them."""
+"""Tests that a request's inputs are stored until its engine has fetched them."""
 
 from amaranthtally.policy import (
     Fate,
@@ -17,7 +17,7 @@
 
 
 def sent_with_inputs(feeder):
-    """Return the first attempt of a request whose one piece was made at ``NOW``."""
+    """Return the first attempt of a request whose only piece was done at ``NOW``."""
     work = PieceWork((PieceStage("catalogue", (), 8e3),), (1,), "key")
     feeder.arrive(NOW - 0.5, work=work)
     (call,) = [a for a in feeder.planner.tick(NOW - 0.4) if isinstance(a, RunPieces)]
@@ -26,20 +26,22 @@
     return send
 
 
-def freed(actions):
+def free_actions(actions):
     return [action for action in actions if isinstance(action, FreeResults)]
 
 
 def test_a_second_attempt_has_its_own_time_to_read():
-    """An engine is sent a request without its inputs: those of the first were freed."""
-    found = endpoints("engine") | {"catalogue": endpoint("catalogue", place=CLUJ)}
-    feeder = Feeder(planner(found, pools=POOLS), one_stage())
+    """Inputs were freed by the first attempt's time, so the second found none."""
+    all_endpoints = endpoints("engine") | {
+        "catalogue": endpoint("catalogue", data_centre=CLUJ)
+    }
+    feeder = Feeder(planner(all_endpoints, pools=POOLS), one_stage())
     first = sent_with_inputs(feeder)
     request_id = first.attempt.request_id
     again = NOW + 0.9 * FETCH_S
     (second,) = sends(feeder.reply(again, first, Fate.NOT_RUN, unreachable=True))
     assert second.endpoint != first.endpoint
-    assert not freed(feeder.tick(NOW + 1.1 * FETCH_S))
+    assert not free_actions(feeder.tick(NOW + 1.1 * FETCH_S))
     assert feeder.planner.inputs_of(request_id)
-    assert freed(feeder.tick(again + 1.1 * FETCH_S))
+    assert free_actions(feeder.tick(again + 1.1 * FETCH_S))
     assert not feeder.planner.inputs_of(request_id)
--- a/tests/policy/test_site_queue.py
+++ b/tests/policy/test_site_queue.py
@@ -1,92 +1,98 @@
-"""The queue of a pool in a data centre, against one that counts anew."""
+"""Tests of a site's queue against a model that looks at each piece."""
 
 from hypothesis import given, strategies as st
 
 from amaranthtally.policy.piece_queue import QueuedPiece
 from amaranthtally.policy.site_queue import SiteQueue
-from tests.policy.pieces import ask
+from tests.policy.pieces import job
 
 TIMES = st.integers(0, 8).map(float)
 
 
-class Watched:
-    """A waiting piece that counts how often it is looked at."""
+class CountingPiece:
+    """A queued piece that counts how often its job is read."""
 
-    def __init__(self, waiting):
-        self._waiting = waiting
-        self.looks = 0
+    def __init__(self, queued):
+        self._queued = queued
+        self.reads = 0
 
     @property
     def job(self):
-        self.looks += 1
-        return self._waiting.job
+        self.reads += 1
+        return self._queued.job
 
     @property
     def queued_at(self):
-        return self._waiting.queued_at
+        return self._queued.queued_at
 
 
 @st.composite
-def waitings(draw):
+def queued_pieces(draw):
     number = draw(st.integers(0, 6))
     start_by = draw(TIMES)
-    one = ask(
+    queued_job = job(
         f"r-{number}",
         priority=draw(st.integers(0, 2)),
         start_by=start_by,
         deadline=start_by + draw(TIMES),
         is_started=draw(st.booleans()),
     )
-    return QueuedPiece(one, 0.0)
+    return QueuedPiece(queued_job, 0.0)
 
 
-def left_of(pieces, gone):
-    return [one for one in pieces if all(one is not other for other in gone)]
+def without(pieces, removed):
+    return [piece for piece in pieces if all(piece is not other for other in removed)]
 
 
 @given(
-    st.lists(waitings(), max_size=20), st.lists(TIMES, max_size=6), st.integers(0, 6)
+    st.lists(queued_pieces(), max_size=20),
+    st.lists(TIMES, max_size=6),
+    st.integers(0, 6),
 )
-def test_it_counts_and_takes_as_one_that_looks_at_each_piece(pieces, times, number):
+def test_the_queue_agrees_with_a_model_that_looks_at_each_piece(pieces, times, number):
     queue = SiteQueue()
-    for one in pieces:
-        queue.add(one)
-    left = list(pieces)
+    for piece in pieces:
+        queue.add(piece)
+    remaining = list(pieces)
     for now in sorted(times):
         for rank in (None, 0, 1, 2):
             on_time = [
-                one
-                for one in left
-                if now <= one.job.start_by
-                and (rank is None or one.job.priority <= rank)
+                piece
+                for piece in remaining
+                if now <= piece.job.start_by
+                and (rank is None or piece.job.priority <= rank)
             ]
             assert queue.on_time(now, rank) == len(on_time)
         late = queue.take_late(now)
-        assert late == [one for one in left if one.job.deadline <= now]
-        left = left_of(left, late)
-        crowded = queue.take_late_unstarted(now)
-        assert crowded == [
-            one for one in left if now > one.job.start_by and not one.job.is_started
+        assert late == [piece for piece in remaining if piece.job.deadline <= now]
+        remaining = without(remaining, late)
+        late_unstarted = queue.take_late_unstarted(now)
+        assert late_unstarted == [
+            piece
+            for piece in remaining
+            if now > piece.job.start_by and not piece.job.is_started
         ]
-        left = left_of(left, crowded)
-    name = f"r-{number}"
-    found = queue.take_request(name)
-    assert found == [one for one in left if one.job.piece.request_id == name]
-    assert queue.waiting == left_of(left, found)
+        remaining = without(remaining, late_unstarted)
+    request_id = f"r-{number}"
+    taken = queue.take_request(request_id)
+    assert taken == [
+        piece for piece in remaining if piece.job.piece.request_id == request_id
+    ]
+    assert queue.waiting == without(remaining, taken)
     assert len(queue) == len(queue.waiting)
 
 
-def test_a_long_queue_costs_a_decision_no_more():
-    """In a burst an entry's processor went into counting its queue at each decision."""
+def test_a_decision_costs_no_more_with_a_long_queue():
+    """In a burst, an entry spent its processor time on counting the queue."""
     pieces = [
-        Watched(QueuedPiece(ask(f"r-{n}", start_by=5.0), 0.0)) for n in range(500)
+        CountingPiece(QueuedPiece(job(f"r-{n}", start_by=5.0), 0.0)) for n in range(500)
     ]
     queue = SiteQueue()
-    for one in pieces:
-        queue.add(one)
-    before = sum(one.looks for one in pieces)
+    for piece in pieces:
+        queue.add(piece)
+    before = sum(piece.reads for piece in pieces)
     for _ in range(10):
         assert queue.on_time(1.0, 1) == len(pieces)
         assert queue.take_late(1.0) == queue.take_late_unstarted(1.0) == []
         assert queue.take_request("another") == []
-    assert sum(one.looks for one in pieces) == before
+    assert sum(piece.reads for piece in pieces) == before
