--- a/packages/policy/src/amaranthtally/policy/model_orders.py
+++ b/packages/policy/src/amaranthtally/policy/model_orders.py
@@ -4,6 +4,7 @@
 from dataclasses import dataclass, field, replace
 
 __all__ = [
+    "DesiredModels",
     "EngineModels",
     "Load",
     "ModelPlan",
@@ -11,7 +12,6 @@
     "Order",
     "SetRole",
     "Unload",
-    "DesiredModels",
     "plan_model_orders",
 ]
 
--- a/packages/policy/src/amaranthtally/policy/piece_coordinator.py
+++ b/packages/policy/src/amaranthtally/policy/piece_coordinator.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 
-from amaranthtally.policy.actions import Action, AskPeer, FreeAtPeer, TellPeer
+from amaranthtally.policy.actions import Action, FreeAtPeer, ReportToPeer, SubmitToPeer
 from amaranthtally.policy.batcher import Batcher, BatcherEffects
-from amaranthtally.policy.first_events import DEFAULT_S
+from amaranthtally.policy.first_event_times import DEFAULT_S
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.model import Endpoint
 from amaranthtally.policy.piece_graph import Piece, PieceGraph, StoredResult
@@ -22,7 +22,7 @@
 from amaranthtally.policy.staged_requests import CoordinatorEffects, StagedRequest
 from amaranthtally.policy.submitted_pieces import SubmittedPiece, SubmittedPieces
 
-__all__ = ["PieceCoordinator", "CoordinatorEffects"]
+__all__ = ["CoordinatorEffects", "PieceCoordinator"]
 
 # A request fails once one of its pieces has failed this many times. The three failures
 # before allow for an endpoint that went down, an owner that did, and a second endpoint.
@@ -268,7 +268,7 @@
         by_owner: dict[str, list[PieceJob]] = {}
         data_centres: dict[tuple[int, int], str | None] = {}
         for piece in pieces:
-            part = (piece.stage, self._plans.part_of(staged.graph, piece))
+            part = (piece.stage, self._plans.part_index(staged.graph, piece))
             if part not in data_centres:
                 fixed = fixed_data_centres.get(piece)
                 data_centres[part] = fixed or self._choose_data_centre(
@@ -291,7 +291,7 @@
             staged.graph.mark_running(piece)
         for owner, jobs in by_owner.items():
             if owner:
-                effects.actions.append(AskPeer(owner, tuple(jobs)))
+                effects.actions.append(SubmitToPeer(owner, tuple(jobs)))
             else:
                 self._add_batcher_effects(now, self._batcher.take(now, jobs), effects)
 
@@ -308,9 +308,9 @@
     ) -> PieceJob:
         stage = staged.graph.stages[piece.stage]
         after_s = self._plans.after_s(staged.graph, piece.stage)
-        share_s = self._plans.share_s(stage.pool)
+        piece_share_s = self._plans.piece_share_s(stage.pool)
         self._sites.note_submitted(
-            now, stage.pool, data_centre, share_s, staged.priority
+            now, stage.pool, data_centre, piece_share_s, staged.priority
         )
         return PieceJob(
             piece,
@@ -371,7 +371,7 @@
         effects.actions += self._releaser.free(now, batcher_effects.consumed)
         for submitter, reports in batcher_effects.reports.items():
             if submitter:
-                effects.actions.append(TellPeer(submitter, tuple(reports)))
+                effects.actions.append(ReportToPeer(submitter, tuple(reports)))
             else:
                 self._take_reports(now, reports, effects)
 
--- a/packages/policy/src/amaranthtally/policy/piece_queue.py
+++ b/packages/policy/src/amaranthtally/policy/piece_queue.py
@@ -20,7 +20,7 @@
     job: PieceJob
     queued_at: float
 
-    def urgency(self, now: float, share_s: float) -> tuple[bool, int, float, str]:
+    def urgency(self, now: float, piece_share_s: float) -> tuple[bool, int, float, str]:
         """
         Return a sort key that puts requests that can still be on time first.
 
@@ -29,12 +29,12 @@
 
         Requests of equal priority are sorted by the time at which their call must
         begin, and larger ones are moved back by the call time that their pieces take,
-        ``share_s`` seconds each. The largest requests have to begin first to be on
+        ``piece_share_s`` seconds each. The largest requests have to begin first to be on
         time; without the shift, each of them would make several small ones late.
         """
         job = self.job
         late = now > job.start_by
-        sort_time = job.start_by + SIZE_WEIGHT * share_s * job.siblings
+        sort_time = job.start_by + SIZE_WEIGHT * piece_share_s * job.siblings
         return (late, job.priority, sort_time, job.piece.request_id)
 
 
@@ -51,7 +51,7 @@
     groups: dict[tuple[str, int], list[QueuedPiece]] = {}
     for queued in queue:
         piece = queued.job.piece
-        part = limits.part_of(piece.number, queued.job.siblings)
+        part = limits.part_index(piece.number, queued.job.siblings)
         groups.setdefault((piece.request_id, part), []).append(queued)
     return list(groups.values())
 
--- a/packages/policy/src/amaranthtally/policy/stage_plans.py
+++ b/packages/policy/src/amaranthtally/policy/stage_plans.py
@@ -78,20 +78,20 @@
         if not graph.count(stage):
             return after_s
         limits = self._limits_of(graph.stages[stage].pool)
-        return after_s + limits.call_of_s(limits.part_pieces(graph.count(stage)))
+        return after_s + limits.call_time_s(limits.part_size(graph.count(stage)))
 
-    def part_of(self, graph: PieceGraph, piece: Piece) -> int:
+    def part_index(self, graph: PieceGraph, piece: Piece) -> int:
         """Return the index of the part of its stage that a piece belongs to."""
         limits = self._limits_of(graph.stages[piece.stage].pool)
-        return limits.part_of(piece.number, graph.count(piece.stage))
+        return limits.part_index(piece.number, graph.count(piece.stage))
 
-    def share_s(self, pool: str) -> float:
+    def piece_share_s(self, pool: str) -> float:
         """Return how much one more piece lengthens the wait at a pool's site."""
-        return self._limits_of(pool).share_s
+        return self._limits_of(pool).piece_share_s
 
     def call_s(self, pool: str) -> float:
         """Return how long a full call takes, 0 if the pool is not known."""
-        return self._limits_of(pool).full_call_s()
+        return self._limits_of(pool).full_call_time_s()
 
     def _limits_of(self, pool: str) -> PieceLimits:
         """Return the limits of a pool's endpoints; times are 0 if it is not known."""
@@ -153,7 +153,7 @@
                 saved_bytes.get(data_centre, 0.0) + result.size_bytes
             )
         if reader and not graph.readers(stage):
-            pieces = self._limits_of(pool).part_pieces(graph.count(stage))
+            pieces = self._limits_of(pool).part_size(graph.count(stage))
             output_bytes = pieces * graph.stages[stage].result_bytes
             saved_bytes[reader] = saved_bytes.get(reader, 0.0) + output_bytes
         candidates = self._batcher.servers.endpoint_by_data_centre(pool)
--- a/tests/policy/test_piece_coordinator.py
+++ b/tests/policy/test_piece_coordinator.py
@@ -3,7 +3,6 @@
 import pytest
 
 from amaranthtally.policy import (
-    AskPeer,
     FreeAtPeer,
     FreeResults,
     Peer,
@@ -11,7 +10,8 @@
     PieceFault,
     PieceReport,
     PiecesEnded,
-    TellPeer,
+    ReportToPeer,
+    SubmitToPeer,
 )
 from tests.policy.pieces import (
     CLAIM,
@@ -49,7 +49,7 @@
 
 
 def submissions(effects):
-    return [action for action in effects.actions if isinstance(action, AskPeer)]
+    return [action for action in effects.actions if isinstance(action, SubmitToPeer)]
 
 
 def report_on(job, handle="h", fault=None):
@@ -172,9 +172,9 @@
 def test_jobs_are_submitted_to_the_owner_of_the_site(submitter):
     submission = submit_to_peer(submitter)
     assert submission.peer in {peer.name for peer in PEERS}
-    assert len(submission.asks) == 2
+    assert len(submission.jobs) == 2
     effects = submitter.take_reports(
-        NOW + 0.4, [report_on(job) for job in submission.asks]
+        NOW + 0.4, [report_on(job) for job in submission.jobs]
     )
     assert effects.ready == ["r"]
 
@@ -183,12 +183,14 @@
     submission = submit_to_peer(new_coordinator(peers=PEERS))
     coordinator = new_coordinator(data_centre=IASI, name=submission.peer)
     (call,) = calls_sent_by(
-        coordinator, coordinator.accept_jobs(NOW, "own", submission.asks), NOW
+        coordinator, coordinator.accept_jobs(NOW, "own", submission.jobs), NOW
     )
     effects = coordinator.call_ended(NOW + 0.3, call.call, completed(call))
-    (answer,) = [action for action in effects.actions if isinstance(action, TellPeer)]
+    (answer,) = [
+        action for action in effects.actions if isinstance(action, ReportToPeer)
+    ]
     assert answer.peer == "own"
-    assert [report.handle for report in answer.told] == [
+    assert [report.handle for report in answer.reports] == [
         "catalogue-iasi-a/r.0.0",
         "catalogue-iasi-a/r.0.1",
     ]
@@ -202,7 +204,7 @@
     submission = submit_to_peer(submitter)
     (again,) = submissions(submitter.peer_failed(NOW + 0.5, submission.peer))
     assert again.peer != submission.peer
-    assert again.asks == submission.asks
+    assert again.jobs == submission.jobs
 
 
 def test_overdue_jobs_are_submitted_to_the_same_peer_again(submitter):
@@ -218,7 +220,7 @@
 
 def test_jobs_that_a_leaving_peer_returns_do_not_count_as_failed(submitter):
     submission = submit_to_peer(submitter)
-    reports = [report_on(job, "", PieceFault.HANDED_BACK) for job in submission.asks]
+    reports = [report_on(job, "", PieceFault.HANDED_BACK) for job in submission.jobs]
     effects = submitter.take_reports(NOW + 0.1, reports)
     assert {a.peer for a in submissions(effects)} == {p.name for p in PEERS} - {
         submission.peer
@@ -236,8 +238,8 @@
     submission = submit_to_peer(new_coordinator(peers=PEERS))
     coordinator = new_coordinator(peers=PEERS, data_centre=IASI, name=submission.peer)
     coordinator.leave(NOW)
-    (answer,) = coordinator.accept_jobs(NOW, "own", submission.asks).actions
-    assert (answer.peer, {report.fault for report in answer.told}) == (
+    (answer,) = coordinator.accept_jobs(NOW, "own", submission.jobs).actions
+    assert (answer.peer, {report.fault for report in answer.reports}) == (
         "own",
         {PieceFault.HANDED_BACK},
     )
@@ -251,7 +253,7 @@
     assert ended == FreeAtPeer(submission.peer, (), "r")
     reports = [
         report_on(job, "late")._replace(endpoint="catalogue-iasi-a")
-        for job in submission.asks
+        for job in submission.jobs
     ]
     frees = submitter.take_reports(NOW + 1.0, reports).actions
     assert {r.handle for f in frees for r in f.results} == {"late"}
@@ -260,7 +262,7 @@
 def test_a_peer_drops_queued_jobs_of_a_request_that_has_ended():
     submission = submit_to_peer(new_coordinator(peers=PEERS))
     coordinator = new_coordinator(data_centre=IASI, name=submission.peer)
-    coordinator.accept_jobs(NOW, "own", submission.asks)
+    coordinator.accept_jobs(NOW, "own", submission.jobs)
     coordinator.free_for_peer(NOW, [], ended="r")
     assert calls_in(coordinator.tick(NOW + 0.1).actions) == []
 
@@ -271,8 +273,8 @@
     as failed. All entries then avoided that data centre for seconds.
     """
     submission = submit_to_peer(new_coordinator(peers=PEERS))
-    (answer,) = PieceCoordinator().accept_jobs(NOW, "own", submission.asks).actions
-    assert {report.fault for report in answer.told} == {PieceFault.HANDED_BACK}
+    (answer,) = PieceCoordinator().accept_jobs(NOW, "own", submission.jobs).actions
+    assert {report.fault for report in answer.reports} == {PieceFault.HANDED_BACK}
 
 
 def rounds_of_reply():
