--- a/packages/policy/src/amaranthtally/policy/batcher.py
+++ b/packages/policy/src/amaranthtally/policy/batcher.py
@@ -11,7 +11,7 @@
 from amaranthtally.policy.batcher_effects import (
     BatcherEffects,
     PieceCall,
-    piece_order,
+    piece_spec,
     requests_to_retry,
 )
 from amaranthtally.policy.call_filling import CallFill, FillCall, fill_call
@@ -47,11 +47,11 @@
     """
     Runs the jobs of all entries at the endpoints that this entry calls.
 
-    An endpoint for pieces runs one call at a time, and a call with one piece takes
-    about as long as a call with several. So each endpoint is sent one call at a time,
-    and the pieces that become due meanwhile share the next call. With a call for each
-    request, three endpoints serve thirteen requests a second; with shared calls they
-    compute sixty pieces a second.
+    An endpoint that computes pieces runs one call at a time, and a call with one piece
+    takes about as long as a call with several. So each endpoint is sent one call at a
+    time, and the pieces that become due meanwhile share the next call. With a call for
+    each request, three endpoints serve thirteen requests a second; with shared calls
+    they compute sixty pieces a second.
 
     One entry calls an endpoint on behalf of all entries. Entries that call it without
     coordination fill its queue and its memory, and it refuses a fifth of their calls.
@@ -75,11 +75,11 @@
 
     @property
     def servers(self) -> PieceServers:
-        """The endpoints for pieces."""
+        """The endpoints that compute pieces, with their state."""
         return self._servers
 
     @property
-    def waiting(self) -> int:
+    def queued_count(self) -> int:
         """How many pieces are queued and not yet in a call."""
         return sum(len(queue) for queue in self._queues.values())
 
@@ -102,7 +102,7 @@
         counted, urgent requests avoided a site whose queue held only less urgent
         pieces, although those would have been overtaken.
         """
-        servers = self._servers.at(pool, data_centre)
+        servers = self._servers.at_site(pool, data_centre)
         if not servers:
             return 0.0
         queue = self._queues.get((pool, data_centre))
@@ -114,7 +114,7 @@
 
     def slowdown_s(self, now: float, pool: str, data_centre: str) -> float:
         """Return by how much longer than usual a call there is predicted to take."""
-        servers = self._servers.at(pool, data_centre)
+        servers = self._servers.at_site(pool, data_centre)
         if not servers:
             return 0.0
         fastest_s = min(server.full_call_time_s(now) for server in servers)
@@ -122,7 +122,7 @@
 
     # Events
 
-    def take(self, now: float, jobs: Iterable[PieceJob]) -> BatcherEffects:
+    def queue_jobs(self, now: float, jobs: Iterable[PieceJob]) -> BatcherEffects:
         """
         Queue jobs, and send the calls that are due.
 
@@ -154,13 +154,13 @@
         if end.outcomes:
             for job, outcome in zip(call.jobs, end.outcomes, strict=True):
                 inputs_freed = job.piece.request_id in freed
-                self._take_outcome(
+                self._process_outcome(
                     now, call.endpoint, server, job, outcome, inputs_freed, effects
                 )
         else:
             for job in call.jobs:
                 inputs_freed = job.piece.request_id in freed
-                self._take_call_failure(now, job, end, inputs_freed, effects)
+                self._process_call_failure(now, job, end, inputs_freed, effects)
         site = (call.jobs[0].pool, call.jobs[0].data_centre)
         self._flush(now, site, effects)
         return effects
@@ -230,7 +230,7 @@
         else:
             server.note_failure(now)
 
-    def _take_outcome(
+    def _process_outcome(
         self,
         now: float,
         endpoint: str,
@@ -251,7 +251,7 @@
             server.note_stored(now, outcome.handle, job.result_bytes)
         self._report(now, job, endpoint, outcome, effects, inputs_freed)
 
-    def _take_call_failure(
+    def _process_call_failure(
         self,
         now: float,
         job: PieceJob,
@@ -305,13 +305,13 @@
         if not queue:
             return
         self._report_fault(now, queue.take_late(now), PieceFault.LATE, effects)
-        servers = self._servers.at(*site)
+        servers = self._servers.at_site(*site)
         for server in servers:
             if not queue:
                 return
             if server.is_open(now) and self._is_due(now, server, queue):
                 fill = self._fill(
-                    now, queue.waiting, server.limits, server.free_bytes(now)
+                    now, queue.pieces, server.limits, server.free_bytes(now)
                 )
                 if fill.pieces:
                     effects.actions.append(self._send(now, server, queue, fill))
@@ -347,9 +347,9 @@
         self._calls[self._next_call] = PieceCall(
             server.endpoint.id, jobs, complete_requests
         )
-        orders = tuple(piece_order(job) for job in jobs)
+        specs = tuple(piece_spec(job) for job in jobs)
         return RunPieces(
-            self._next_call, server.endpoint.id, orders, timeout_s, fill.details
+            self._next_call, server.endpoint.id, specs, timeout_s, fill.details
         )
 
     def _refuse_crowded_out(
--- a/packages/policy/src/amaranthtally/policy/batcher_effects.py
+++ b/packages/policy/src/amaranthtally/policy/batcher_effects.py
@@ -7,7 +7,7 @@
 from amaranthtally.policy.piece_graph import StoredResult
 from amaranthtally.policy.piece_messages import PieceJob, PieceReport, PiecesEnded
 
-__all__ = ["BatcherEffects", "PieceCall", "piece_order", "requests_to_retry"]
+__all__ = ["BatcherEffects", "PieceCall", "piece_spec", "requests_to_retry"]
 
 
 @dataclass(slots=True)
@@ -38,8 +38,8 @@
     complete_requests: frozenset[str]
 
 
-def piece_order(job: PieceJob) -> PieceSpec:
-    """Return the order that an endpoint is sent for a job."""
+def piece_spec(job: PieceJob) -> PieceSpec:
+    """Return what an endpoint is sent for a job."""
     return PieceSpec(
         job.piece.request_id,
         job.piece.stage,
--- a/packages/policy/src/amaranthtally/policy/piece_coordinator.py
+++ b/packages/policy/src/amaranthtally/policy/piece_coordinator.py
@@ -33,7 +33,7 @@
 # and the more of them the fuller it is.
 REPORT_TIMEOUT_S = 2.0
 
-NO_SITES: Mapping[Piece, str] = {}
+NO_FIXED_DATA_CENTRES: Mapping[Piece, str] = {}
 
 
 class PieceCoordinator:
@@ -112,9 +112,10 @@
         """
         Start a request's stages by submitting the pieces that are due first.
 
-        ``key`` is the input of the first stages. ``reader`` is the data centre in which
-        the request itself is expected to run, and ``engine_s`` how long its engine
-        usually takes until the first event, in seconds.
+        ``key`` is the input of the first stages. ``objective`` and ``deadline`` are
+        time stamps in seconds. ``reader`` is the data centre in which the request
+        itself is expected to run, and ``engine_s`` how long its engine usually takes
+        until the first event, in seconds.
         """
         ensure(
             request_id not in self._requests, "the pieces of a request are started once"
@@ -155,7 +156,7 @@
         # reported as failed, and all entries would avoid the site for a while.
         can_run = not self._sites.is_leaving and self._plans.is_configured
         batcher_effects = (
-            self._batcher.take(now, peer_jobs)
+            self._batcher.queue_jobs(now, peer_jobs)
             if can_run
             else self._batcher.refuse(peer_jobs)
         )
@@ -167,7 +168,7 @@
     ) -> CoordinatorEffects:
         """Process reports on jobs that this entry submitted."""
         effects = CoordinatorEffects()
-        self._take_reports(now, reports, effects)
+        self._process_reports(now, reports, effects)
         return effects
 
     def free_for_peer(
@@ -262,7 +263,7 @@
         staged: StagedRequest,
         pieces: list[Piece],
         effects: CoordinatorEffects,
-        fixed_data_centres: Mapping[Piece, str] = NO_SITES,
+        fixed_data_centres: Mapping[Piece, str] = NO_FIXED_DATA_CENTRES,
     ) -> None:
         """Submit pieces; those in ``fixed_data_centres`` run in the given one."""
         by_owner: dict[str, list[PieceJob]] = {}
@@ -293,7 +294,9 @@
             if owner:
                 effects.actions.append(SubmitToPeer(owner, tuple(jobs)))
             else:
-                self._add_batcher_effects(now, self._batcher.take(now, jobs), effects)
+                self._add_batcher_effects(
+                    now, self._batcher.queue_jobs(now, jobs), effects
+                )
 
     def _choose_data_centre(
         self, now: float, staged: StagedRequest, stage: int
@@ -307,7 +310,7 @@
         self, now: float, staged: StagedRequest, piece: Piece, data_centre: str
     ) -> PieceJob:
         stage = staged.graph.stages[piece.stage]
-        after_s = self._plans.after_s(staged.graph, piece.stage)
+        remaining_time_s = self._plans.remaining_time_s(staged.graph, piece.stage)
         piece_share_s = self._plans.piece_share_s(stage.pool)
         self._sites.note_submitted(
             now, stage.pool, data_centre, piece_share_s, staged.priority
@@ -317,8 +320,8 @@
             stage.pool,
             data_centre,
             stage.result_bytes,
-            staged.objective - after_s - staged.engine_s,
-            staged.deadline - after_s,
+            staged.objective - remaining_time_s - staged.engine_s,
+            staged.deadline - remaining_time_s,
             staged.priority,
             "" if stage.after else staged.key,
             staged.graph.inputs_of(piece),
@@ -332,7 +335,7 @@
         pieces: Iterable[Piece],
         effects: CoordinatorEffects,
         failed: bool = True,
-        fixed_data_centres: Mapping[Piece, str] = NO_SITES,
+        fixed_data_centres: Mapping[Piece, str] = NO_FIXED_DATA_CENTRES,
     ) -> None:
         by_request: dict[str, list[Piece]] = {}
         for piece in pieces:
@@ -360,7 +363,11 @@
 
     def _report_due(self, now: float, job: PieceJob) -> float:
         wait_s = self._plans.wait_s(now, job.pool, job.data_centre, job.priority)
-        return now + 2.0 * (wait_s + self._plans.call_s(job.pool)) + REPORT_TIMEOUT_S
+        return (
+            now
+            + 2.0 * (wait_s + self._plans.full_call_time_s(job.pool))
+            + REPORT_TIMEOUT_S
+        )
 
     # Reports
 
@@ -373,9 +380,9 @@
             if submitter:
                 effects.actions.append(ReportToPeer(submitter, tuple(reports)))
             else:
-                self._take_reports(now, reports, effects)
+                self._process_reports(now, reports, effects)
 
-    def _take_reports(
+    def _process_reports(
         self, now: float, reports: Iterable[PieceReport], effects: CoordinatorEffects
     ) -> None:
         reported_requests: dict[str, None] = {}
@@ -388,11 +395,11 @@
                 continue
             if report.inputs_freed:
                 staged.graph.discard_inputs_of(report.piece)
-            self._take_report(now, staged, report, submitted.owner, effects)
+            self._process_report(now, staged, report, submitted.owner, effects)
             reported_requests[report.piece.request_id] = None
         self._submit_next(now, reported_requests, effects)
 
-    def _take_report(
+    def _process_report(
         self,
         now: float,
         staged: StagedRequest,
@@ -412,8 +419,8 @@
             )
             staged.graph.mark_done(piece, result)
         elif report.fault is PieceFault.HANDED_BACK:
-            # The peer shuts down. Until its membership record is removed, it would be
-            # chosen as owner again and return the job once more.
+            # The peer shuts down or has no configuration yet. As long as it counts as
+            # live, it would be chosen as owner again and return the job once more.
             self._sites.peer_failed(now, owner)
             self._resubmit(now, [piece], effects, failed=False)
         elif report.fault is PieceFault.LATE:
--- a/packages/policy/src/amaranthtally/policy/piece_queue.py
+++ b/packages/policy/src/amaranthtally/policy/piece_queue.py
@@ -29,8 +29,8 @@
 
         Requests of equal priority are sorted by the time at which their call must
         begin, and larger ones are moved back by the call time that their pieces take,
-        ``piece_share_s`` seconds each. The largest requests have to begin first to be on
-        time; without the shift, each of them would make several small ones late.
+        ``piece_share_s`` seconds each. The largest requests have to begin first to be
+        on time; without the shift, each of them would make several small ones late.
         """
         job = self.job
         late = now > job.start_by
--- a/packages/policy/src/amaranthtally/policy/piece_servers.py
+++ b/packages/policy/src/amaranthtally/policy/piece_servers.py
@@ -140,7 +140,7 @@
             now - self.slowness_learned_at
         )
 
-    def call_s(self, now: float, pieces: int) -> float:
+    def call_time_s(self, now: float, pieces: int) -> float:
         """Return how long a call with this many pieces is predicted to run, in s."""
         return self.limits.call_time_s(pieces) * self.slowness(now)
 
@@ -151,7 +151,7 @@
     def timeout_s(self, now: float, pieces: int) -> float:
         """Return the time-out of a call sent now, in seconds."""
         usual_s = TIMEOUT_FACTOR * self.limits.call_time_s(pieces)
-        slow_s = SLOW_TIMEOUT_FACTOR * self.call_s(now, pieces)
+        slow_s = SLOW_TIMEOUT_FACTOR * self.call_time_s(now, pieces)
         wait_s = SLOW_TIMEOUT_FACTOR * self.wait_s(now)
         return max(usual_s, slow_s) + wait_s + TIMEOUT_MARGIN_S
 
@@ -172,7 +172,7 @@
     ) -> None:
         """Record a call, and reserve the memory that its results will occupy."""
         starts_at = now + self.wait_s(now)
-        self.busy_until = starts_at + self.call_s(now, pieces)
+        self.busy_until = starts_at + self.call_time_s(now, pieces)
         self.calls[call] = _Call(
             result_bytes, starts_at, self.limits.call_time_s(pieces)
         )
@@ -272,7 +272,7 @@
         """Return the state of an endpoint by its id, or ``None``."""
         return self._servers.get(endpoint)
 
-    def at(self, pool: str, data_centre: str) -> list[PieceServer]:
+    def at_site(self, pool: str, data_centre: str) -> list[PieceServer]:
         """Return a pool's endpoints in a data centre, except those that are leaving."""
         servers = self._by_site.get((pool, data_centre), [])
         return [server for server in servers if not server.leaving]
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -122,7 +122,7 @@
     @property
     def pieces_waiting(self) -> int:
         """Pieces that wait for a call here, of whichever entry's requests."""
-        return self._coordinator.batcher.waiting
+        return self._coordinator.batcher.queued_count
 
     @property
     def counters(self) -> Counters:
@@ -142,7 +142,7 @@
             self._membership.prepare(now, stage)
         verdict = self._admission.decide(now, arrival)
         if verdict.reason is None and arrival.piece_work is not None:
-            verdict = self._inputs.judge(now, arrival, arrival.piece_work)
+            verdict = self._inputs.decide(now, arrival, arrival.piece_work)
         if verdict.reason is not None:
             self.counters.refused_on_arrival += 1
             return [
--- a/packages/policy/src/amaranthtally/policy/request_inputs.py
+++ b/packages/policy/src/amaranthtally/policy/request_inputs.py
@@ -41,14 +41,16 @@
         self._times = times
         self._fetches: deque[_Fetch] = deque()
 
-    def judge(self, now: float, arrival: Arrival, work: PieceWork) -> AdmissionDecision:
+    def decide(
+        self, now: float, arrival: Arrival, work: PieceWork
+    ) -> AdmissionDecision:
         """
         Refuse a request whose pieces are predicted to miss their deadline.
 
         The endpoints for pieces are the first to be overloaded. A piece that waits
         there past its deadline delays requests that could still be answered.
         """
-        needed_s = self._coordinator.plans.predicted_s(
+        needed_s = self._coordinator.plans.predicted_time_s(
             now, work.stages, work.counts, arrival.priority
         )
         excess_s = now + needed_s - self.pieces_deadline(arrival)
--- a/packages/policy/src/amaranthtally/policy/site_queue.py
+++ b/packages/policy/src/amaranthtally/policy/site_queue.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(self) -> None:
-        self._waiting: list[QueuedPiece] = []
+        self._pieces: list[QueuedPiece] = []
         self._starts: dict[int, list[float]] = {}
         self._unstarted_starts: list[float] = []
         self._request_counts: Counter[str] = Counter()
@@ -29,32 +29,32 @@
         self._first_deadline = inf
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pieces)
 
     def __iter__(self) -> Iterator[QueuedPiece]:
-        return iter(self._waiting)
+        return iter(self._pieces)
 
     @property
-    def waiting(self) -> list[QueuedPiece]:
+    def pieces(self) -> list[QueuedPiece]:
         """The pieces in order of arrival; the list must not be changed."""
-        return self._waiting
+        return self._pieces
 
     def add(self, queued: QueuedPiece) -> None:
         """Append a piece."""
         job = queued.job
-        self._waiting.append(queued)
+        self._pieces.append(queued)
         self._request_counts[job.piece.request_id] += 1
         insort(self._starts.setdefault(job.priority, []), job.start_by)
         if _is_unstarted(queued):
             insort(self._unstarted_starts, job.start_by)
         self._first_deadline = min(self._first_deadline, job.deadline)
 
-    def remove(self, pieces: Iterable[QueuedPiece]) -> None:
+    def remove(self, queued_pieces: Iterable[QueuedPiece]) -> None:
         """Remove pieces, which are compared by identity."""
-        removed = {id(queued): queued for queued in pieces}
+        removed = {id(queued): queued for queued in queued_pieces}
         if not removed:
             return
-        self._waiting = [q for q in self._waiting if id(q) not in removed]
+        self._pieces = [q for q in self._pieces if id(q) not in removed]
         for queued in removed.values():
             job = queued.job
             self._decrement_count(job.piece.request_id)
@@ -64,7 +64,7 @@
 
     def take(self, is_wanted: Callable[[QueuedPiece], bool]) -> list[QueuedPiece]:
         """Remove and return the pieces for which the predicate is true."""
-        taken = [queued for queued in self._waiting if is_wanted(queued)]
+        taken = [queued for queued in self._pieces if is_wanted(queued)]
         self.remove(taken)
         return taken
 
@@ -79,7 +79,7 @@
         if now < self._first_deadline:
             return []
         taken = self.take(lambda queued: queued.job.deadline <= now)
-        deadlines = (queued.job.deadline for queued in self._waiting)
+        deadlines = (queued.job.deadline for queued in self._pieces)
         self._first_deadline = min(deadlines, default=inf)
         return taken
 
--- a/packages/policy/src/amaranthtally/policy/stage_plans.py
+++ b/packages/policy/src/amaranthtally/policy/stage_plans.py
@@ -35,7 +35,7 @@
 
     # Predicted times
 
-    def predicted_s(
+    def predicted_time_s(
         self,
         now: float,
         stages: tuple[PieceStage, ...],
@@ -43,25 +43,27 @@
         rank: int,
     ) -> float:
         """Return how long the stages of a request take if it arrives now."""
-        ends: list[float] = []
+        ends_s: list[float] = []
         for index, stage in enumerate(stages):
             count = counts[index] if index < len(counts) else 0
-            begin = max((ends[i] for i in stage.after if i < index), default=0.0)
-            ends.append(begin + (self.stage_s(now, stage.pool, rank) if count else 0.0))
-        return max(ends, default=0.0)
+            start_s = max((ends_s[i] for i in stage.after if i < index), default=0.0)
+            ends_s.append(
+                start_s + (self.stage_time_s(now, stage.pool, rank) if count else 0.0)
+            )
+        return max(ends_s, default=0.0)
 
     def backlog_s(self, now: float, stages: tuple[PieceStage, ...], rank: int) -> float:
-        """Return the longest time that any of these stages takes now."""
-        times_s = [self.stage_s(now, stage.pool, rank) for stage in stages]
+        """Return how long the slowest of these stages takes now, its wait included."""
+        times_s = [self.stage_time_s(now, stage.pool, rank) for stage in stages]
         return max(times_s, default=0.0)
 
-    def stage_s(self, now: float, pool: str, rank: int) -> float:
+    def stage_time_s(self, now: float, pool: str, rank: int) -> float:
         """Return how long a stage takes at the site predicted to finish it first."""
         candidates = self._batcher.servers.endpoint_by_data_centre(pool)
         data_centre = self._sites.best_data_centre(now, pool, candidates, rank=rank)
         if data_centre is None:
             return 0.0
-        return self.wait_s(now, pool, data_centre, rank) + self.call_s(pool)
+        return self.wait_s(now, pool, data_centre, rank) + self.full_call_time_s(pool)
 
     def wait_s(self, now: float, pool: str, data_centre: str, rank: int) -> float:
         """Return how much later than at an idle site a piece is done there."""
@@ -70,15 +72,17 @@
             return queue_s + self._batcher.slowdown_s(now, pool, data_centre)
         return self._sites.wait_s(now, pool, data_centre, rank)
 
-    def after_s(self, graph: PieceGraph, stage: int) -> float:
+    def remaining_time_s(self, graph: PieceGraph, stage: int) -> float:
         """Return how long a stage and all stages after it take on idle endpoints."""
-        after_s = max(
-            (self.after_s(graph, r) for r in graph.readers(stage)), default=0.0
+        remaining_time_s = max(
+            (self.remaining_time_s(graph, r) for r in graph.readers(stage)), default=0.0
         )
         if not graph.count(stage):
-            return after_s
+            return remaining_time_s
         limits = self._limits_of(graph.stages[stage].pool)
-        return after_s + limits.call_time_s(limits.part_size(graph.count(stage)))
+        return remaining_time_s + limits.call_time_s(
+            limits.part_size(graph.count(stage))
+        )
 
     def part_index(self, graph: PieceGraph, piece: Piece) -> int:
         """Return the index of the part of its stage that a piece belongs to."""
@@ -89,7 +93,7 @@
         """Return how much one more piece lengthens the wait at a pool's site."""
         return self._limits_of(pool).piece_share_s
 
-    def call_s(self, pool: str) -> float:
+    def full_call_time_s(self, pool: str) -> float:
         """Return how long a full call takes, 0 if the pool is not known."""
         return self._limits_of(pool).full_call_time_s()
 
@@ -157,7 +161,7 @@
             output_bytes = pieces * graph.stages[stage].result_bytes
             saved_bytes[reader] = saved_bytes.get(reader, 0.0) + output_bytes
         candidates = self._batcher.servers.endpoint_by_data_centre(pool)
-        spare_s = on_time_by - self.after_s(graph, stage) - now
+        spare_s = on_time_by - self.remaining_time_s(graph, stage) - now
         return self._sites.best_data_centre(
             now, pool, candidates, saved_bytes, spare_s, rank
         )
--- a/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
@@ -27,7 +27,9 @@
 class WithoutAdmission(RequestInputs):
     """Takes in every request, whatever its pieces would wait."""
 
-    def judge(self, now: float, arrival: Arrival, work: PieceWork) -> AdmissionDecision:
+    def decide(
+        self, now: float, arrival: Arrival, work: PieceWork
+    ) -> AdmissionDecision:
         """Admit."""
         return ADMITTED
 
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -41,7 +41,7 @@
 
 def send(batcher, now, *jobs):
     """Submit jobs and let the linger time pass; return the calls that are sent."""
-    actions = batcher.take(now, jobs).actions
+    actions = batcher.queue_jobs(now, jobs).actions
     return calls_in(actions + batcher.tick(now + LINGER_S).actions)
 
 
@@ -50,15 +50,15 @@
     When a call ends, pieces of three requests become due at the next pool within
     milliseconds. The first was sent alone, and every second request waited for a call.
     """
-    assert batcher.take(NOW, [job("a")]).actions == []
-    assert batcher.take(NOW + LINGER_S / 2, [job("b"), job("c")]).actions == []
+    assert batcher.queue_jobs(NOW, [job("a")]).actions == []
+    assert batcher.queue_jobs(NOW + LINGER_S / 2, [job("b"), job("c")]).actions == []
     (call,) = calls_in(batcher.tick(LATER).actions)
     assert requests_of(call) == {"a", "b", "c"}
 
 
 def test_a_full_call_does_not_wait(batcher):
     small = [job(f"r{n}", result_bytes=8e3) for n in range(CATALOGUE.batch)]
-    (call,) = calls_in(batcher.take(NOW, small).actions)
+    (call,) = calls_in(batcher.queue_jobs(NOW, small).actions)
     assert len(call.pieces) == CATALOGUE.batch
 
 
@@ -137,7 +137,7 @@
     """Urgent requests avoided a site whose queued pieces were all less urgent."""
     send(batcher, NOW, job("running"))
     for n in range(40):
-        batcher.take(NOW, [job(f"r{n}", priority=2)])
+        batcher.queue_jobs(NOW, [job(f"r{n}", priority=2)])
     urgent_s = batcher.wait_s(NOW + LINGER_S, "catalogue", CLUJ, 1)
     assert urgent_s <= CATALOGUE.full_call_time_s()
     waiting_s = batcher.wait_s(NOW + LINGER_S, "catalogue", CLUJ, 2)
@@ -166,7 +166,7 @@
 
 def test_requests_on_time_go_before_late_ones_and_urgent_ones_before_others(batcher):
     (_,) = send(batcher, NOW, job("running"))
-    batcher.take(
+    batcher.queue_jobs(
         NOW,
         [
             job("late", start_by=NOW - 1.0),
@@ -197,9 +197,9 @@
     In a burst, requests on time take all capacity, and late ones would wait until
     their deadline. Their callers got the refusal for overload after seven seconds.
     """
-    batcher.take(NOW, [job("late", start_by=NOW - 0.1)])
+    batcher.queue_jobs(NOW, [job("late", start_by=NOW - 0.1)])
     crowd = [job(f"r{n}", result_bytes=8e3) for n in range(2 * CATALOGUE.batch)]
-    effects = batcher.take(NOW, crowd)
+    effects = batcher.queue_jobs(NOW, crowd)
     assert reports_by_request(effects)["late"].fault is PieceFault.LATE
 
 
@@ -209,7 +209,9 @@
     send(batcher, NOW, *[job("a", n, siblings=8) for n in range(8)])
     started = job("started", is_started=True, **late)
     on_time = [job(f"r{n}") for n in range(9)]
-    reports = batcher.take(NOW + 0.1, [started, job("new", **late), *on_time]).reports
+    reports = batcher.queue_jobs(
+        NOW + 0.1, [started, job("new", **late), *on_time]
+    ).reports
     assert {report.piece.request_id for report in reports[""]} == {"new"}
 
 
@@ -233,7 +235,7 @@
 
 
 def test_pieces_at_a_site_without_endpoints_are_reported_as_failed(batcher):
-    effects = batcher.take(NOW, [job("a", data_centre=IASI)])
+    effects = batcher.queue_jobs(NOW, [job("a", data_centre=IASI)])
     assert reports_by_request(effects)["a"].fault is PieceFault.FAILED
 
 
@@ -243,7 +245,7 @@
     lost or the endpoint slow. The endpoint computed the same piece twice.
     """
     (first,) = send(batcher, NOW, job("a"))
-    batcher.take(NOW + 0.1, [job("a"), job("b"), job("b")])
+    batcher.queue_jobs(NOW + 0.1, [job("a"), job("b"), job("b")])
     (second,) = calls_in(
         batcher.call_ended(NOW + 0.3, first.call, completed(first)).actions
     )
@@ -251,14 +253,14 @@
 
 
 def test_pieces_of_a_request_that_has_ended_are_not_computed(batcher):
-    batcher.take(NOW, [job("ended"), job("a")])
+    batcher.queue_jobs(NOW, [job("ended"), job("a")])
     batcher.withdraw("ended")
     (call,) = calls_in(batcher.tick(LATER).actions)
     assert requests_of(call) == {"a"}
 
 
 def test_a_leaving_entry_returns_its_queued_jobs(batcher):
-    batcher.take(NOW, [job("a", submitter="peer")])
+    batcher.queue_jobs(NOW, [job("a", submitter="peer")])
     assert (
         reports_by_request(batcher.hand_back(), "peer")["a"].fault
         is PieceFault.HANDED_BACK
@@ -269,7 +271,7 @@
 def test_a_leaving_endpoint_gets_no_call(batcher):
     leaving = endpoint("catalogue-cluj-a", takes_calls=False)
     batcher.configure({leaving.id: leaving}, POOLS)
-    effects = batcher.take(NOW, [job("a")])
+    effects = batcher.queue_jobs(NOW, [job("a")])
     assert effects.actions == []
     assert reports_by_request(effects)["a"].fault is PieceFault.FAILED
 
--- a/tests/policy/test_site_queue.py
+++ b/tests/policy/test_site_queue.py
@@ -78,8 +78,8 @@
     assert taken == [
         piece for piece in remaining if piece.job.piece.request_id == request_id
     ]
-    assert queue.waiting == without(remaining, taken)
-    assert len(queue) == len(queue.waiting)
+    assert queue.pieces == without(remaining, taken)
+    assert len(queue) == len(queue.pieces)
 
 
 def test_a_decision_costs_no_more_with_a_long_queue():
