--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -14,8 +14,8 @@
     DocumentSnapshots,
     PartRequest,
     Record,
-    pack_records,
-    unpack_records,
+    decode_records,
+    encode_records,
 )
 from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 
@@ -74,7 +74,7 @@
         self, peer: str, document: Document, version: int, content: bytes
     ) -> None:
         """Take a peer's document; raises ``MalformedDocumentError``."""
-        records = unpack_records(content) if document is Document.RECORDS else ()
+        records = decode_records(content) if document is Document.RECORDS else ()
         name = document.value
         log.info(
             "beliefs_from_peer",
@@ -107,7 +107,7 @@
     def _content(self, document: Document) -> bytes:
         if document is Document.CONFIGURATION:
             return self._configuration.value
-        return pack_records(
+        return encode_records(
             tuple(
                 Record(item.key, item.value or b"", item.revision)
                 for item in self._records.items
--- a/packages/wire/src/amaranthtally/wire/documents.py
+++ b/packages/wire/src/amaranthtally/wire/documents.py
@@ -1,4 +1,4 @@
-"""Documents that gateways read from each other in parts: both ends, without I/O."""
+"""Documents that gateways read from each other in parts: both sides, without I/O."""
 
 import zlib
 from dataclasses import dataclass
@@ -14,33 +14,33 @@
     "MalformedDocumentError",
     "PartRequest",
     "Record",
-    "pack_records",
-    "unpack_records",
+    "encode_records",
+    "decode_records",
 ]
 
-# A thin link of 5 Mbit/s carries a part in 26 ms, in bytes.
+# Size of a part in bytes: a slow link of 5 Mbit/s transfers it in 26 ms.
 PART_BYTES = 16_384
-# The most that a document may hold, in bytes, far beyond what the store takes: a
-# damaged part must not fill the memory as it is unpacked.
-MOST_BYTES = 64 * 1024 * 1024
-# Snapshots that are kept of a document: readers of some versions at once.
-KEPT_SNAPSHOTS = 4
+# Maximum size of an uncompressed document in bytes, far more than the store accepts.
+# It keeps a corrupted part from exhausting the memory when it is decompressed.
+MAX_DOCUMENT_BYTES = 64 * 1024 * 1024
+# Snapshots kept of a document, so that readers of older versions can finish.
+MAX_SNAPSHOTS = 4
 COMPRESSION_LEVEL = 1
 
 
 class MalformedDocumentError(ValueError):
-    """A document's parts do not make it up; it is to be read anew."""
+    """The content of a document is invalid; it has to be read again."""
 
 
 class Document(Enum):
-    """What gateways read from each other."""
+    """The documents that gateways read from each other."""
 
     CONFIGURATION = "configuration"
     RECORDS = "records"
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A record of the store, as it was read."""
+    """A record as read from the store."""
 
     key: str
     value: bytes
@@ -49,7 +49,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PartRequest:
-    """Asks for what follows ``offset`` bytes of a snapshot; 0 and 0 for the newest."""
+    """
+    Requests the part at a byte offset of the snapshot with a checksum.
+
+    A checksum and an offset of 0 request the first part of the newest snapshot.
+    """
 
     document: Document
     checksum: int = 0
@@ -58,7 +62,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentPart:
-    """Bytes of a compressed snapshot of ``size`` bytes; version 0: there is none."""
+    """
+    Bytes of a compressed snapshot, starting at ``offset``.
+
+    ``size`` and ``checksum`` are those of the whole compressed snapshot. Version 0
+    means that the peer has no snapshot.
+    """
 
     version: int = 0
     size: int = 0
@@ -71,11 +80,11 @@
 class _Snapshot:
     version: int
     checksum: int
-    packed: bytes
+    compressed: bytes
 
 
 class DocumentSnapshots:
-    """Snapshots of one document, compressed once for all that read them."""
+    """The last snapshots of one document, each compressed once for all readers."""
 
     def __init__(self) -> None:
         self._snapshots: dict[int, _Snapshot] = {}
@@ -83,31 +92,31 @@
 
     @property
     def version(self) -> int:
-        """The newest snapshot's version; 0 before the first."""
+        """The version of the newest snapshot; 0 if there is none."""
         return self._newest.version if self._newest else 0
 
     def put(self, version: int, content: bytes) -> None:
-        """Keep a newer version; readers of the last few can go on with theirs."""
-        packed = zlib.compress(content, COMPRESSION_LEVEL)
-        self._newest = _Snapshot(version, zlib.crc32(packed), packed)
+        """Add a newer version; the last few stay available to their readers."""
+        compressed = zlib.compress(content, COMPRESSION_LEVEL)
+        self._newest = _Snapshot(version, zlib.crc32(compressed), compressed)
         self._snapshots[self._newest.checksum] = self._newest
-        if len(self._snapshots) > KEPT_SNAPSHOTS:
+        if len(self._snapshots) > MAX_SNAPSHOTS:
             del self._snapshots[next(iter(self._snapshots))]
 
     def read_part(self, request: PartRequest) -> DocumentPart:
-        """Return the part that was asked for, or the newest snapshot's first."""
-        asked = self._snapshots.get(request.checksum)
-        if asked is not None and 0 < request.offset < len(asked.packed):
-            return _part(asked, request.offset)
+        """Return the requested part, or else the first part of the newest snapshot."""
+        requested = self._snapshots.get(request.checksum)
+        if requested is not None and 0 < request.offset < len(requested.compressed):
+            return _part(requested, request.offset)
         return _part(self._newest, 0) if self._newest else DocumentPart()
 
 
 class DocumentReader:
     """
-    Puts a document together from its parts, whichever peers they come from.
+    Assembles a document from its parts, which may come from several peers.
 
-    What has come is kept when a peer fails: another that has the same snapshot goes
-    on from there.
+    The parts received so far are kept when a peer fails, so that another peer that
+    has the same snapshot can continue with the next part.
     """
 
     def __init__(self, document: Document) -> None:
@@ -119,20 +128,20 @@
 
     @property
     def version(self) -> int:
-        """The version that is being read; 0 before the first part."""
+        """The version being read; 0 before the first part."""
         return self._version
 
     @property
     def is_complete(self) -> bool:
-        """Whether every part has come."""
+        """Whether all parts have been received."""
         return 0 < self._size <= len(self._parts)
 
     def next_request(self) -> PartRequest:
-        """Return what to ask for next."""
+        """Return the request for the next part."""
         return PartRequest(self._document, self._checksum, len(self._parts))
 
     def add(self, part: DocumentPart) -> None:
-        """Take a part; one of another snapshot begins anew."""
+        """Add a part; restart if it belongs to another snapshot."""
         if part.checksum != self._checksum:
             self.clear()
             self._version = part.version
@@ -142,31 +151,35 @@
             self._parts += part.data
 
     def content(self) -> bytes:
-        """Return the whole document; raises ``MalformedDocumentError``."""
+        """Return the decompressed document; raise ``MalformedDocumentError``."""
         if zlib.crc32(self._parts) != self._checksum:
-            raise MalformedDocumentError("its parts do not match its checksum")
-        unpacking = zlib.decompressobj()
+            raise MalformedDocumentError(
+                "the document's parts do not match its checksum"
+            )
+        decompressor = zlib.decompressobj()
         try:
-            content = unpacking.decompress(self._parts, MOST_BYTES)
+            content = decompressor.decompress(self._parts, MAX_DOCUMENT_BYTES)
         except zlib.error as error:
             raise MalformedDocumentError(str(error)) from error
-        if unpacking.unconsumed_tail:
-            raise MalformedDocumentError(f"it is larger than {MOST_BYTES} bytes")
+        if decompressor.unconsumed_tail:
+            raise MalformedDocumentError(
+                f"the document is larger than {MAX_DOCUMENT_BYTES} bytes"
+            )
         return content
 
     def clear(self) -> None:
-        """Forget what has come."""
+        """Discard the parts received so far."""
         self._version = self._size = self._checksum = 0
         self._parts = bytearray()
 
 
-def pack_records(records: tuple[Record, ...]) -> bytes:
+def encode_records(records: tuple[Record, ...]) -> bytes:
     """Encode records."""
     return msgspec.msgpack.encode(records)
 
 
-def unpack_records(content: bytes) -> tuple[Record, ...]:
-    """Decode records; raises ``MalformedDocumentError``."""
+def decode_records(content: bytes) -> tuple[Record, ...]:
+    """Decode records; raise ``MalformedDocumentError`` if they are invalid."""
     try:
         return msgspec.msgpack.decode(content, type=tuple[Record, ...])
     except msgspec.MsgspecError as error:
@@ -176,8 +189,8 @@
 def _part(snapshot: _Snapshot, offset: int) -> DocumentPart:
     return DocumentPart(
         snapshot.version,
-        len(snapshot.packed),
+        len(snapshot.compressed),
         snapshot.checksum,
         offset,
-        snapshot.packed[offset : offset + PART_BYTES],
+        snapshot.compressed[offset : offset + PART_BYTES],
     )
--- a/packages/wire/src/amaranthtally/wire/gateway.capnp
+++ b/packages/wire/src/amaranthtally/wire/gateway.capnp
@@ -1,10 +1,10 @@
-# Protocol between gateways. Times are remaining times in microseconds: the clocks of
-# two hosts are never compared. A time that has passed is negative.
+# Protocol between gateways. Points in time are sent as remaining times in microseconds,
+# because the clocks of two hosts are never compared. They are negative if past.
 @0xb7c1d20a3f5e9c41;
 
 struct PieceAsk {
-  # Pieces of one stage of one request: what they read is told once for all of them,
-  # since it is most of the message and links between regions are paid for by the byte.
+  # Jobs for pieces of one stage of one request. Their common inputs are sent once,
+  # because they are most of the message and inter-region traffic is billed by the byte.
   requestId @0 :Text;
   stage @1 :UInt16;
   numbers @2 :List(UInt16);
@@ -16,9 +16,9 @@
   priority @8 :UInt16;
   key @9 :Text;
   inputs @10 :List(StoredResult);
-  # How many pieces of the stage read the same inputs.
+  # Number of pieces of the stage that read the same inputs.
   siblings @11 :UInt16;
-  # Whether other pieces of the request have been made.
+  # Whether other pieces of the request have already been computed.
   isBegun @12 :Bool;
 }
 
@@ -38,7 +38,7 @@
 }
 
 struct PieceTold {
-  # Pieces of one stage of one request that one endpoint made, or did not.
+  # Outcomes of jobs for one stage of one request that were sent to one endpoint.
   requestId @0 :Text;
   stage @1 :UInt16;
   pool @2 :Text;
@@ -47,7 +47,7 @@
   waitMicros @5 :Int64;
   outcomes @6 :List(Outcome);
   inputsFreed @7 :Bool;
-  # By how much longer than usual a call takes there.
+  # How much longer than usual a call at that pool currently takes.
   slowerMicros @8 :Int64;
 }
 
@@ -59,8 +59,8 @@
 }
 
 struct Versions {
-  # What a gateway believes: the configuration's version and the store's revision up to
-  # which it has read the endpoints' records; 0 where it has none.
+  # The version of a gateway's configuration, and the store revision up to which it has
+  # read the endpoints' records; 0 if it has none.
   configuration @0 :UInt64;
   records @1 :UInt64;
 }
@@ -71,20 +71,21 @@
 }
 
 interface Gateway {
-  # Tells a peer who one is, where it reaches one, and one's versions; answers with the
-  # peer's own, and whether it stops.
+  # Sends the caller's name, address, data centre and versions; returns the receiver's
+  # versions and whether it is stopping.
   greet @0 (name :Text, versions :Versions, address :Text, dataCentre :Text)
       -> (versions :Versions, leaving :Bool);
-  # Answered no more; read has taken its place.
+  # Not implemented any more; replaced by read.
   beliefs @1 () -> ();
-  # Asks for pieces; what becomes of them is told by a call the other way.
+  # Submits jobs; the receiver reports their outcomes by calling tell on the submitter.
   ask @2 (asker :Text, asks :List(PieceAsk)) -> ();
   tell @3 (told :List(PieceTold)) -> ();
-  # The results are read no more; the request that is named, if any, has ended.
+  # Releases results that are no longer read; ended names a request that has ended, if
+  # it is not empty.
   free @4 (results :List(StoredResult), ended :Text) -> ();
-  # A part of a compressed document from an offset, in bytes: of the snapshot with that
-  # checksum, or else the first part of the newest. Parts are small, so that calls that
-  # share a thin link with them are answered in time.
+  # Returns the part at a byte offset of the compressed snapshot with that checksum, or
+  # else the first part of the newest snapshot. Parts are small, so that other calls over
+  # the same slow link are answered in time.
   read @5 (document :Document, checksum :UInt32, offset :UInt32)
       -> (version :UInt64, size :UInt32, checksum :UInt32, offset :UInt32, part :Data);
 }
--- a/packages/wire/src/amaranthtally/wire/gateway_codec.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_codec.py
@@ -1,4 +1,4 @@
-"""Conversion between gateways' messages and Cap'n Proto structs."""
+"""Conversion between the gateway protocol's messages and Cap'n Proto structs."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -20,17 +20,17 @@
     "GatewayStatus",
     "Versions",
     "gateway_schema",
-    "read_asks",
+    "read_jobs",
     "read_part",
     "read_part_request",
     "read_results",
-    "read_told",
+    "read_reports",
     "read_versions",
-    "write_asks",
+    "write_jobs",
     "write_part",
     "write_part_request",
     "write_results",
-    "write_told",
+    "write_reports",
     "write_versions",
 ]
 
@@ -39,7 +39,7 @@
 
 MICROSECONDS = 1_000_000
 
-T = TypeVar("T")
+ItemT = TypeVar("ItemT")
 _FAULTS = {
     None: "none",
     PieceFault.LATE: "late",
@@ -52,19 +52,19 @@
 
 
 class Versions(NamedTuple):
-    """How new a gateway's configuration and records are; 0 where it has none."""
+    """The versions of a gateway's configuration and records; 0 if it has none."""
 
     configuration: int = 0
     records: int = 0
 
     def of(self, document: Document) -> int:
-        """Return how new one document is."""
+        """Return the version of one document."""
         is_configuration = document is Document.CONFIGURATION
         return self.configuration if is_configuration else self.records
 
 
 class GatewayStatus(NamedTuple):
-    """What a gateway answers a greeting; ``leaving`` once it has been told to stop."""
+    """A gateway's document versions; ``leaving`` is set once it is stopping."""
 
     versions: Versions = Versions()
     leaving: bool = False
@@ -73,16 +73,21 @@
 # Pieces
 
 
-def write_asks(target: Any, asks: Iterable[PieceJob], now: float) -> None:
-    """Fill the pieces of an ``ask``, those of one stage of a request together."""
+def write_jobs(target: Any, jobs: Iterable[PieceJob], now: float) -> None:
+    """
+    Fill the jobs of an ``ask`` request.
+
+    Jobs for one stage of a request that share their inputs become one item; times are
+    written as remaining times from ``now``.
+    """
     groups = _grouped(
-        asks, lambda ask: (ask.piece[:2], ask.inputs, ask.data_centre, ask.is_started)
+        jobs, lambda job: (job.piece[:2], job.inputs, job.data_centre, job.is_started)
     )
     for item, group in zip(target.init("asks", len(groups)), groups, strict=True):
         first = group[0]
         item.requestId = first.piece.request_id
         item.stage = first.piece.stage
-        item.numbers = [ask.piece.number for ask in group]
+        item.numbers = [job.piece.number for job in group]
         item.pool = first.pool
         item.dataCentre = first.data_centre
         item.resultBytes = first.result_bytes
@@ -95,9 +100,9 @@
         item.isBegun = first.is_started
 
 
-def read_asks(source: Any, now: float) -> tuple[PieceJob, ...]:
-    """Return the pieces of an ``ask``, with time stamps of this process."""
-    asks: list[PieceJob] = []
+def read_jobs(source: Any, now: float) -> tuple[PieceJob, ...]:
+    """Decode the jobs of an ``ask`` request; ``now`` is the current loop time."""
+    jobs: list[PieceJob] = []
     for item in source:
         request_id, stage = item.requestId, item.stage
         first = PieceJob(
@@ -113,16 +118,18 @@
             siblings=item.siblings,
             is_started=item.isBegun,
         )
-        asks += [
+        jobs += [
             replace(first, piece=Piece(request_id, stage, number))
             for number in item.numbers
         ]
-    return tuple(asks)
+    return tuple(jobs)
 
 
-def write_told(target: Any, told: Iterable[PieceReport]) -> None:
-    """Fill the pieces of a ``tell``, those of one stage of a request together."""
-    groups = _grouped(told, lambda one: (one.piece[:2], one[1:4], one.inputs_freed))
+def write_reports(target: Any, reports: Iterable[PieceReport]) -> None:
+    """Fill the reports of a ``tell`` request, grouped by stage of a request."""
+    groups = _grouped(
+        reports, lambda report: (report.piece[:2], report[1:4], report.inputs_freed)
+    )
     for item, group in zip(target.init("told", len(groups)), groups, strict=True):
         first = group[0]
         item.requestId = first.piece.request_id
@@ -134,14 +141,14 @@
         item.slowerMicros = _micros(first.slowdown_s)
         item.inputsFreed = first.inputs_freed
         outcomes = item.init("outcomes", len(group))
-        for outcome, one in zip(outcomes, group, strict=True):
-            outcome.number = one.piece.number
-            outcome.handle = one.handle
-            outcome.fault = _FAULTS[one.fault]
+        for outcome, report in zip(outcomes, group, strict=True):
+            outcome.number = report.piece.number
+            outcome.handle = report.handle
+            outcome.fault = _FAULTS[report.fault]
 
 
-def read_told(source: Any) -> tuple[PieceReport, ...]:
-    """Return the pieces of a ``tell``."""
+def read_reports(source: Any) -> tuple[PieceReport, ...]:
+    """Decode the reports of a ``tell`` request."""
     return tuple(
         PieceReport(
             piece=Piece(item.requestId, item.stage, outcome.number),
@@ -160,21 +167,21 @@
 
 
 def write_results(target: Any, results: Iterable[StoredResult]) -> None:
-    """Fill the results of a ``free``."""
+    """Fill the results of a ``free`` request."""
     results = tuple(results)
     _write_results(target.init("results", len(results)), results)
 
 
 def _write_results(items: Any, results: Iterable[StoredResult]) -> None:
-    for item, one in zip(items, results, strict=True):
-        item.handle = one.handle
-        item.endpoint = one.endpoint
-        item.dataCentre = one.data_centre
-        item.sizeBytes = one.size_bytes
+    for item, result in zip(items, results, strict=True):
+        item.handle = result.handle
+        item.endpoint = result.endpoint
+        item.dataCentre = result.data_centre
+        item.sizeBytes = result.size_bytes
 
 
 def read_results(source: Any) -> tuple[StoredResult, ...]:
-    """Return the results of a ``free``."""
+    """Decode a list of stored results."""
     return tuple(
         StoredResult(item.handle, item.endpoint, item.dataCentre, item.sizeBytes)
         for item in source
@@ -185,30 +192,30 @@
 
 
 def write_versions(target: Any, versions: Versions) -> None:
-    """Fill versions."""
+    """Fill a ``Versions`` builder."""
     target.configuration = versions.configuration
     target.records = versions.records
 
 
 def read_versions(source: Any) -> Versions:
-    """Return versions."""
+    """Decode a ``Versions`` reader."""
     return Versions(source.configuration, source.records)
 
 
 def write_part_request(target: Any, request: PartRequest) -> None:
-    """Fill a ``read``."""
+    """Fill a ``read`` request."""
     target.document = request.document.value
     target.checksum = request.checksum
     target.offset = request.offset
 
 
 def read_part_request(document: Any, checksum: int, offset: int) -> PartRequest:
-    """Return what a ``read`` asks for."""
+    """Decode the parameters of a ``read`` request."""
     return PartRequest(Document(str(document)), checksum, offset)
 
 
 def write_part(target: Any, part: DocumentPart) -> None:
-    """Fill the answer of a ``read``."""
+    """Fill the reply to a ``read`` request."""
     target.version = part.version
     target.size = part.size
     target.checksum = part.checksum
@@ -217,14 +224,16 @@
 
 
 def read_part(source: Any) -> DocumentPart:
-    """Return the answer of a ``read``."""
+    """Decode the reply to a ``read`` request."""
     return DocumentPart(
         source.version, source.size, source.checksum, source.offset, bytes(source.part)
     )
 
 
-def _grouped(items: Iterable[T], key: Callable[[T], object]) -> list[list[T]]:
-    groups: dict[object, list[T]] = {}
+def _grouped(
+    items: Iterable[ItemT], key: Callable[[ItemT], object]
+) -> list[list[ItemT]]:
+    groups: dict[object, list[ItemT]] = {}
     for item in items:
         groups.setdefault(key(item), []).append(item)
     return list(groups.values())
--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -1,4 +1,4 @@
-"""Both ends of the protocol between gateways."""
+"""Client and server of the gateway protocol."""
 
 import asyncio
 from collections.abc import AsyncIterator, Sequence
@@ -14,17 +14,17 @@
     GatewayStatus,
     Versions,
     gateway_schema,
-    read_asks,
+    read_jobs,
     read_part,
     read_part_request,
+    read_reports,
     read_results,
-    read_told,
     read_versions,
-    write_asks,
+    write_jobs,
     write_part,
     write_part_request,
+    write_reports,
     write_results,
-    write_told,
     write_versions,
 )
 
@@ -32,32 +32,36 @@
 
 
 class GatewayHandler(Protocol):
-    """What a gateway does with the calls of another; none of them waits."""
+    """Implements the requests that a gateway receives; no method may block."""
 
     def exchange_status(
         self, name: str, record: PeerRecord, versions: Versions
     ) -> GatewayStatus:
-        """Hear a peer's versions and return one's own, and whether this one leaves."""
+        """Receive a peer's address and versions; return this gateway's status."""
 
     def read_part(self, request: PartRequest) -> DocumentPart:
-        """Return a part of the configuration or the records."""
+        """Return a part of the configuration or of the records."""
 
-    def submit_jobs(self, asker: str, asks: Sequence[PieceJob]) -> None:
-        """Take pieces that a peer wants made."""
+    def submit_jobs(self, submitter: str, jobs: Sequence[PieceJob]) -> None:
+        """Accept jobs that a peer submits."""
 
-    def report_outcomes(self, told: Sequence[PieceReport]) -> None:
-        """Hear what became of pieces."""
+    def report_outcomes(self, reports: Sequence[PieceReport]) -> None:
+        """Receive the outcomes of jobs that this gateway submitted."""
 
     def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
-        """Hear that results are read no more, and of a request that has ended."""
+        """
+        Release results that are no longer read.
+
+        ``ended`` is the id of a request that has ended, or empty.
+        """
 
 
 class GatewayClient:
     """
-    One connection to another gateway.
+    A connection to another gateway.
 
-    Every method raises ``PeerLostError`` when the connection ends, or when no answer
-    comes within ``timeout_s`` seconds: a connection can go silent without an end.
+    Every request raises ``PeerLostError`` if the connection ends or no reply arrives
+    within ``timeout_s`` seconds; a connection can fail without being closed.
     """
 
     def __init__(self, peer: str, stream: Any, timeout_s: float) -> None:
@@ -75,40 +79,40 @@
     async def exchange_status(
         self, name: str, record: PeerRecord, versions: Versions
     ) -> GatewayStatus:
-        """Tell one's versions; return the peer's, and whether it leaves."""
+        """Send this gateway's address and versions; return the peer's status."""
         request = self._gateway.greet_request()
         request.name = name
         request.address = record.address
         request.dataCentre = record.data_centre
         write_versions(request.versions, versions)
-        answer = await self._send(request)
-        return GatewayStatus(read_versions(answer.versions), answer.leaving)
+        reply = await self._send(request)
+        return GatewayStatus(read_versions(reply.versions), reply.leaving)
 
     async def read_part(self, request: PartRequest) -> DocumentPart:
         """Read a part of the peer's configuration or records."""
-        sent = self._gateway.read_request()
-        write_part_request(sent, request)
-        return read_part(await self._send(sent))
+        message = self._gateway.read_request()
+        write_part_request(message, request)
+        return read_part(await self._send(message))
 
     async def submit_jobs(
-        self, asker: str, asks: Sequence[PieceJob], now: float
+        self, submitter: str, jobs: Sequence[PieceJob], now: float
     ) -> None:
-        """Ask for pieces."""
+        """Submit jobs; their outcomes arrive in a ``tell`` request of the peer."""
         request = self._gateway.ask_request()
-        request.asker = asker
-        write_asks(request, asks, now)
+        request.asker = submitter
+        write_jobs(request, jobs, now)
         await self._send(request)
 
-    async def report_outcomes(self, told: Sequence[PieceReport]) -> None:
-        """Tell what became of pieces."""
+    async def report_outcomes(self, reports: Sequence[PieceReport]) -> None:
+        """Report the outcomes of jobs that the peer submitted."""
         request = self._gateway.tell_request()
-        write_told(request, told)
+        write_reports(request, reports)
         await self._send(request)
 
     async def release_results(
         self, results: Sequence[StoredResult], ended: str
     ) -> None:
-        """Tell that results are read no more, or that a request has ended."""
+        """Release results that are no longer read; name a request that has ended."""
         request = self._gateway.free_request()
         request.ended = ended
         write_results(request, results)
@@ -125,7 +129,9 @@
         except capnp.KjException as error:
             raise PeerLostError(self._peer, str(error).splitlines()[0]) from error
         except TimeoutError as error:
-            raise PeerLostError(self._peer, "no answer in time") from error
+            raise PeerLostError(
+                self._peer, "no reply before the time-out"
+            ) from error
 
 
 class _GatewayServer(gateway_schema.Gateway.Server):
@@ -138,14 +144,14 @@
         name: str,
         versions: Any,
         address: str,
-        dataCentre: str,  # noqa: N803 - the schema's name
+        dataCentre: str,  # noqa: N803 - name fixed by the schema
         _context: Any,
         **_: Any,
     ) -> None:
         record = PeerRecord(address, dataCentre)
-        own = self._handler.exchange_status(name, record, read_versions(versions))
-        write_versions(_context.results.versions, own.versions)
-        _context.results.leaving = own.leaving
+        status = self._handler.exchange_status(name, record, read_versions(versions))
+        write_versions(_context.results.versions, status.versions)
+        _context.results.leaving = status.leaving
 
     async def read(
         self, document: Any, checksum: int, offset: int, _context: Any, **_: Any
@@ -154,10 +160,10 @@
         write_part(_context.results, self._handler.read_part(request))
 
     async def ask(self, asker: str, asks: Any, _context: Any, **_: Any) -> None:
-        self._handler.submit_jobs(asker, read_asks(asks, self._loop.time()))
+        self._handler.submit_jobs(asker, read_jobs(asks, self._loop.time()))
 
     async def tell(self, told: Any, _context: Any, **_: Any) -> None:
-        self._handler.report_outcomes(read_told(told))
+        self._handler.report_outcomes(read_reports(told))
 
     async def free(self, results: Any, ended: str, _context: Any, **_: Any) -> None:
         self._handler.release_results(read_results(results), ended)
@@ -169,7 +175,8 @@
     """
     Connect to a gateway; must run inside ``capnp.kj_loop()``.
 
-    Raises ``PeerLostError`` when it does not answer within ``connect_timeout_s``.
+    Raises ``PeerLostError`` if no connection is made within ``connect_timeout_s``
+    seconds. ``call_timeout_s`` is the time-out of each request.
     """
     peer = f"{host}:{port}"
     try:
@@ -185,7 +192,7 @@
     handler: GatewayHandler, host: str, port: int
 ) -> AsyncIterator[int]:
     """
-    Serve ``handler`` over TCP and yield the bound port; 0 lets the kernel pick.
+    Serve ``handler`` over TCP and yield the bound port; port 0 picks a free one.
 
     Must run inside ``capnp.kj_loop()``.
     """
--- a/packages/wire/src/amaranthtally/wire/loop.py
+++ b/packages/wire/src/amaranthtally/wire/loop.py
@@ -1,12 +1,12 @@
 """
-The event loop of the system's processes: uvloop, with a guard for pycapnp.
-
-The failure: uvloop asks a ``BufferedProtocol`` for a buffer, and when no read is
-pending pycapnp pauses the transport from inside that call. uvloop then calls a
-reader that it has just removed, and the process ends with SIGSEGV. It shows when
-a peer's first bytes arrive before the server's first read, as they do on a busy
-host. The guard holds because uvloop only ever sees a plain ``Protocol``: pauses
-reach the real transport outside its read callback, or not at all.
+The event loop of the system's processes: uvloop with a workaround for pycapnp.
+
+The workaround prevents the following crash. uvloop calls ``get_buffer`` of a
+``BufferedProtocol``; if no read is pending, pycapnp pauses the transport from inside
+that call. uvloop then calls a reader that it has just removed, and the process dies
+of SIGSEGV. This happens when a peer's first bytes arrive before the server's first
+read, as is common on a busy host. With the workaround, uvloop only sees a plain
+``Protocol``, so that the transport is paused outside its read callback or not at all.
 """
 
 import asyncio
@@ -18,85 +18,86 @@
 
 __all__ = ["WireLoop", "run"]
 
-# Bytes held for a paused reader before the peer is made to wait.
+# Buffered bytes for a paused protocol beyond which the transport is paused too.
 HIGH_WATER_BYTES = 1_048_576
 
 
 class WireLoop(uvloop.Loop):
-    """A uvloop whose buffered protocols may pause at any moment."""
+    """A uvloop whose buffered protocols may pause the transport at any time."""
 
     async def create_server(  # type: ignore[override]
         self, protocol_factory: Callable[[], Any], *args: Any, **kwargs: Any
     ) -> asyncio.AbstractServer:
-        """Create a server, as ``asyncio`` documents it."""
-        factory = _guarded(protocol_factory)
+        """Create a server; see ``asyncio.loop.create_server``."""
+        factory = _wrap_factory(protocol_factory)
         return await super().create_server(factory, *args, **kwargs)
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], *args: Any, **kwargs: Any
     ) -> tuple[Any, Any]:
-        """Create a connection, as ``asyncio`` documents it."""
-        factory = _guarded(protocol_factory)
+        """Create a connection; see ``asyncio.loop.create_connection``."""
+        factory = _wrap_factory(protocol_factory)
         transport, protocol = await super().create_connection(factory, *args, **kwargs)
-        if isinstance(protocol, _GuardProtocol):
+        if isinstance(protocol, _BufferedProtocolAdapter):
             return protocol.transport, protocol.inner
         return transport, protocol
 
 
 def run(main: Any) -> None:
-    """Run a coroutine to its end on a new ``WireLoop``."""
+    """Run a coroutine to completion on a new ``WireLoop``."""
     with asyncio.Runner(loop_factory=WireLoop) as runner:
         runner.run(main)
 
 
-class _GuardTransport:
-    """The transport that the guarded protocol sees: its own pause and resume."""
+class _PausableTransport:
+    """The transport as the wrapped protocol sees it: pauses go to the adapter."""
 
-    def __init__(self, transport: Any, guard: "_GuardProtocol") -> None:
+    def __init__(self, transport: Any, adapter: "_BufferedProtocolAdapter") -> None:
         self._transport = transport
-        self._guard = guard
+        self._adapter = adapter
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
 
     def pause_reading(self) -> None:
-        self._guard.pause()
+        self._adapter.pause()
 
     def resume_reading(self) -> None:
-        self._guard.resume()
+        self._adapter.resume()
 
 
-class _GuardProtocol(asyncio.Protocol):
-    """Feeds a buffered protocol from a plain one, holding bytes while it pauses."""
+class _BufferedProtocolAdapter(asyncio.Protocol):
+    """Passes the data of a plain protocol to a buffered one, unless that is paused."""
 
     def __init__(self, inner: asyncio.BufferedProtocol) -> None:
         self.inner = inner
         self.transport: Any = None
-        self._real: Any = None
-        self._held: deque[memoryview] = deque()
-        self._held_bytes = 0
+        self._uvloop_transport: Any = None
+        self._buffered: deque[memoryview] = deque()
+        self._buffered_bytes = 0
         self._paused = False
-        self._choked = False
+        self._transport_paused = False
         self._eof = False
-        self._lost: list[Exception | None] = []
+        # The argument of ``connection_lost`` until it has been passed on.
+        self._lost_exc: list[Exception | None] = []
         self._loop = asyncio.get_running_loop()
 
-    # Events of the real transport
+    # Callbacks of the real transport
 
     def connection_made(self, transport: Any) -> None:
-        self._real = transport
-        self.transport = _GuardTransport(transport, self)
+        self._uvloop_transport = transport
+        self.transport = _PausableTransport(transport, self)
         self.inner.connection_made(self.transport)
 
     def data_received(self, data: bytes) -> None:
-        if not self._held and not self._paused:
-            target = self._buffer(len(data))
+        if not self._buffered and not self._paused:
+            target = self._get_buffer(len(data))
             if not self._paused and len(target) >= len(data):
                 target[: len(data)] = data
                 self.inner.buffer_updated(len(data))
                 return
-        self._held.append(memoryview(data))
-        self._held_bytes += len(data)
+        self._buffered.append(memoryview(data))
+        self._buffered_bytes += len(data)
         self._deliver()
 
     def eof_received(self) -> bool:
@@ -105,7 +106,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._lost.append(exc)
+        self._lost_exc.append(exc)
         self._deliver()
 
     def pause_writing(self) -> None:
@@ -114,65 +115,65 @@
     def resume_writing(self) -> None:
         self.inner.resume_writing()
 
-    # Events of the guarded protocol
+    # Requests of the wrapped protocol
 
     def pause(self) -> None:
         self._paused = True
 
     def resume(self) -> None:
         self._paused = False
-        if self._held or self._eof or self._lost:
+        if self._buffered or self._eof or self._lost_exc:
             self._loop.call_soon(self._deliver)
 
     # Delivery
 
     def _deliver(self) -> None:
-        while self._held and not self._paused:
+        while self._buffered and not self._paused:
             self._deliver_one()
-        self._set_choked(self._held_bytes > HIGH_WATER_BYTES)
-        if self._lost:
-            self._end()
-        elif self._eof and not self._held:
+        self._set_transport_paused(self._buffered_bytes > HIGH_WATER_BYTES)
+        if self._lost_exc:
+            self._report_connection_lost()
+        elif self._eof and not self._buffered:
             self._eof = False
             self.inner.eof_received()
 
     def _deliver_one(self) -> None:
-        data = self._held[0]
-        target = self._buffer(len(data))
+        data = self._buffered[0]
+        target = self._get_buffer(len(data))
         if self._paused:
             return
         size = min(len(data), len(target))
         target[:size] = data[:size]
         if size == len(data):
-            self._held.popleft()
+            self._buffered.popleft()
         else:
-            self._held[0] = data[size:]
-        self._held_bytes -= size
+            self._buffered[0] = data[size:]
+        self._buffered_bytes -= size
         self.inner.buffer_updated(size)
 
-    def _buffer(self, size: int) -> memoryview:
+    def _get_buffer(self, size: int) -> memoryview:
         return memoryview(self.inner.get_buffer(size)).cast("B")
 
-    def _end(self) -> None:
-        exc = self._lost.pop()
-        self._held.clear()
+    def _report_connection_lost(self) -> None:
+        exc = self._lost_exc.pop()
+        self._buffered.clear()
         self.inner.connection_lost(exc)
 
-    def _set_choked(self, choked: bool) -> None:
-        if choked == self._choked or self._real.is_closing():
+    def _set_transport_paused(self, paused: bool) -> None:
+        if paused == self._transport_paused or self._uvloop_transport.is_closing():
             return
-        self._choked = choked
-        if choked:
-            self._real.pause_reading()
+        self._transport_paused = paused
+        if paused:
+            self._uvloop_transport.pause_reading()
         else:
-            self._real.resume_reading()
+            self._uvloop_transport.resume_reading()
 
 
-def _guarded(factory: Callable[[], Any]) -> Callable[[], Any]:
+def _wrap_factory(factory: Callable[[], Any]) -> Callable[[], Any]:
     def build() -> Any:
         protocol = factory()
         if isinstance(protocol, asyncio.BufferedProtocol):
-            return _GuardProtocol(protocol)
+            return _BufferedProtocolAdapter(protocol)
         return protocol
 
     return build
--- a/packages/wire/src/amaranthtally/wire/sidecar.capnp
+++ b/packages/wire/src/amaranthtally/wire/sidecar.capnp
@@ -1,5 +1,5 @@
-# Protocol between an entry and a sidecar. Times are remaining times in
-# microseconds: the clocks of two hosts are never compared.
+# Protocol between an entry and a sidecar. Points in time are sent as remaining times
+# in microseconds, because the clocks of two hosts are never compared.
 @0xd3a1c1f4b7e05a92;
 
 enum Status {
@@ -17,11 +17,11 @@
 }
 
 struct ModelState {
-  # What a model engine answers now, its role, and what became of the last order.
+  # The models that an engine currently serves, its role, and the last order's outcome.
   served @0 :List(Text);
   role @1 :Text;
   lastOrder @2 :Text;
-  # False where any model is answered; the rest is empty then.
+  # False if calls for any model are accepted; the other fields are empty then.
   known @3 :Bool;
 }
 
@@ -39,8 +39,8 @@
 }
 
 struct OnceTerms {
-  # issuedMicros and expiresMicros (0: never) are times on the clock of the
-  # incarnation that it names.
+  # Conditions of an at-most-once call. issuedMicros and expiresMicros (0: never) are
+  # times on the clock of the sidecar incarnation that the struct names.
   incarnation @0 :UInt64;
   issuedMicros @1 :UInt64;
   permit @2 :UInt32;
@@ -68,13 +68,13 @@
   resumeOffset @10 :UInt32;
   model @11 :Text;
   revision @12 :UInt64;
-  # The serial up to which the sender knows the sidecar's news of cached prefixes.
+  # Serial of the last cache update that the sender has received from this sidecar.
   cacheSerial @13 :UInt64;
 }
 
 struct CacheNews {
-  # Blocks of prompts that the engine stored and removed since the serial of the
-  # call. After a reset whatever was known before is to be forgotten.
+  # Prompt blocks that the engine's prefix cache stored and removed since the serial in
+  # the call. After a reset the receiver discards all blocks that it knew before.
   serial @0 :UInt64;
   stored @1 :List(UInt64);
   removed @2 :List(UInt64);
@@ -95,8 +95,8 @@
   cache @10 :CacheNews;
 }
 
-# Consecutive chunks of one stream. The entry has numbered the stream and knows which
-# call it belongs to; the id must be that call's.
+# Consecutive chunks of one stream. The entry assigned the stream's number to a call;
+# the id must be that of this call.
 struct StreamPart {
   stream @0 :UInt32;
   id @1 :CallId;
@@ -105,17 +105,18 @@
 }
 
 interface SettingsPeer {
-  # Changes after a revision, oldest first; an empty list when none is newer. Where
-  # the changes are kept no more, the whole tree as a snapshot.
+  # Returns the changes after a revision, oldest first, or the whole settings tree as a
+  # snapshot if those changes are no longer kept.
   changesSince @0 (revision :UInt64) -> (revision :UInt64, changes :List(Data), snapshot :Data);
-  # Tells the peer a revision and where to read it; answers with the peer's own.
+  # Announces a revision and the capability to read it from; returns the receiver's
+  # revision.
   announce @1 (revision :UInt64, source :SettingsPeer) -> (revision :UInt64);
 }
 
 interface EntryPeer extends(SettingsPeer) {
-  # Sent when a sidecar starts to leave, so that an idle entry learns of it too.
+  # Sent when a sidecar stops accepting work, so that idle entries learn of it too.
   loadChanged @0 (load :Load) -> ();
-  # Chunks of any number of streams; the answer lets the sidecar send more.
+  # Delivers chunks of any number of streams; the reply acknowledges them.
   chunks @1 (parts :List(StreamPart)) -> ();
 }
 
--- a/tests/unit/test_documents.py
+++ b/tests/unit/test_documents.py
@@ -14,8 +14,8 @@
     MalformedDocumentError,
     PartRequest,
     Record,
-    pack_records,
-    unpack_records,
+    decode_records,
+    encode_records,
 )
 
 
@@ -100,6 +100,6 @@
 
 def test_records_survive_the_way():
     records = (Record("servers/a", b"\xff\x00", 7), Record("servers/b", b"", 9))
-    assert unpack_records(pack_records(records)) == records
+    assert decode_records(encode_records(records)) == records
     with pytest.raises(MalformedDocumentError):
-        unpack_records(b"\xc1")
+        decode_records(b"\xc1")
