--- a/packages/daemon/src/amaranthtally/daemon/sidecar/__init__.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar role: the only way to its endpoint."""
+"""The sidecar role: a proxy through which all calls to its endpoint pass."""
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/adapters.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/adapters.py
@@ -1,4 +1,4 @@
-"""How each kind of endpoint is called, in a registry that decorators fill."""
+"""Adapters that call each kind of endpoint, registered by a decorator."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -20,37 +20,37 @@
     "adapter_kinds",
 ]
 
-DONE_MARK = b"[DONE]"
+STREAM_END = b"[DONE]"
 DATA_PREFIX = b"data: "
 MAX_EVENT_BYTES = 1_048_576
 CALL_MARGIN_S = 0.05
-MIN_PROGRESS_S = 0.25
-PROGRESS_SHARE = 0.5
+MIN_READ_TIMEOUT_S = 0.25
+READ_TIMEOUT_SHARE = 0.5
 NOT_FOUND = 404
 
 
 class EndpointError(Exception):
     """
-    The endpoint answered with an error, or its stream ended early.
+    The endpoint returned an error, or its stream ended early.
 
-    ``permanent`` where the same call would meet the same error again.
+    ``permanent`` is true if a retry of the call would meet the same error.
     """
 
     def __init__(self, detail: str, permanent: bool = False) -> None:
-        super().__init__(f"{detail}; look at the endpoint's own log")
+        super().__init__(f"{detail}; see the endpoint's log")
         self.permanent = permanent
 
 
 class ModelMissingError(EndpointError):
-    """The engine refused a call before its start: it does not hold the model."""
+    """The engine rejected a call before starting it: the model is not loaded."""
 
     def __init__(self, model: str) -> None:
-        super().__init__(f"the engine does not hold model {model!r}")
+        super().__init__(f"model {model!r} is not loaded in the engine")
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointCall:
-    """A stage call on its way to the endpoint; ``cache`` where it is an engine."""
+    """A stage call and the endpoint to send it to; ``cache`` is set for an engine."""
 
     session: aiohttp.ClientSession
     url: str
@@ -64,12 +64,12 @@
 
 
 def adapter_kinds() -> list[str]:
-    """Return the kinds of endpoint that can be called."""
+    """Return the kinds of endpoint that have an adapter."""
     return sorted(_ADAPTERS)
 
 
 def adapter_for(kind: str) -> Adapter:
-    """Return the adapter of a kind; raises ``KeyError``."""
+    """Return the adapter for a kind of endpoint; raise ``KeyError`` if unknown."""
     return _ADAPTERS[kind]
 
 
@@ -86,7 +86,7 @@
     previous: msgspec.Raw
 
 
-class _Found(msgspec.Struct):
+class _RetrieverOutput(msgspec.Struct):
     documents: list[str] = []
 
 
@@ -95,23 +95,27 @@
 
 @_adapter("encoder")
 async def _encode(target: EndpointCall) -> bytes:
-    given = _read_input(target.call)
-    body = {"model": target.call.model, "input": given.input}
+    stage_input = _read_input(target.call)
+    body = {"model": target.call.model, "input": stage_input.input}
     return await _post(target, "/v1/embeddings", body)
 
 
 @_adapter("retriever")
 async def _retrieve(target: EndpointCall) -> bytes:
-    given = _read_input(target.call)
-    body = {"query": given.input, "vector": given.previous}
+    stage_input = _read_input(target.call)
+    body = {"query": stage_input.input, "vector": stage_input.previous}
     return await _post(target, "/v1/search", body)
 
 
 @_adapter("reranker")
 async def _rerank(target: EndpointCall) -> bytes:
-    given = _read_input(target.call)
-    documents = _documents(given.previous)
-    body = {"model": target.call.model, "query": given.input, "documents": documents}
+    stage_input = _read_input(target.call)
+    documents = _documents(stage_input.previous)
+    body = {
+        "model": target.call.model,
+        "query": stage_input.input,
+        "documents": documents,
+    }
     return await _post(target, "/v1/rerank", body)
 
 
@@ -120,13 +124,13 @@
 
 @_adapter("engine")
 async def _generate(target: EndpointCall) -> bytes:
-    given = _read_input(target.call)
-    text = input_text(given.input)
+    stage_input = _read_input(target.call)
+    text = input_text(stage_input.input)
     if target.cache is not None:
         target.cache.record_prompt(target.call.account, text)
     body = {
         "model": target.call.model,
-        "prompt": build_prompt(text, _documents(given.previous)),
+        "prompt": build_prompt(text, _documents(stage_input.previous)),
         "cache_salt": cache_salt(target.call.account),
         "stream": True,
         "priority": target.call.priority,
@@ -140,38 +144,39 @@
         headers=_JSON_HEADERS,
         timeout=_timeout(target.call),
     ) as response:
-        # An order of a former holder may have unloaded it since it was last seen.
+        # A late order of a previous lease holder may have unloaded the model since the
+        # last reading of the engine's state.
         if response.status == NOT_FOUND:
             raise ModelMissingError(target.call.model)
         await _raise_for_status(response)
         events = EventSplitter()
-        async for piece in response.content.iter_any():
-            for data in events.feed(piece):
-                if data == DONE_MARK:
+        async for data_read in response.content.iter_any():
+            for data in events.feed(data_read):
+                if data == STREAM_END:
                     return msgspec.json.encode({"chunks": offset})
                 await target.on_chunk(offset, _completion_text(data))
                 offset += 1
-        if events.rest == DATA_PREFIX + DONE_MARK:
+        if events.incomplete_line == DATA_PREFIX + STREAM_END:
             return msgspec.json.encode({"chunks": offset})
-    raise EndpointError("the engine's stream ended without its end mark")
+    raise EndpointError("the engine's stream ended without its end marker")
 
 
 class EventSplitter:
     """
-    Splits an engine's bytes into the data of its events.
+    Extracts the data of server-sent events from an engine's byte stream.
 
-    All that came together is split in one go: a read by line would go through the
-    HTTP library twice for each token.
+    All bytes that arrive together are split at once: reading line by line would go
+    through the HTTP library twice per token.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.incomplete_line = b""
 
-    def feed(self, piece: bytes) -> list[bytes]:
-        """Take bytes; return the data of the lines that they end."""
-        *lines, self.rest = (self.rest + piece).split(b"\n")
-        if len(self.rest) > MAX_EVENT_BYTES:
-            raise EndpointError(f"an event has over {MAX_EVENT_BYTES} bytes")
+    def feed(self, received: bytes) -> list[bytes]:
+        """Add received bytes; return the data of the lines that they complete."""
+        *lines, self.incomplete_line = (self.incomplete_line + received).split(b"\n")
+        if len(self.incomplete_line) > MAX_EVENT_BYTES:
+            raise EndpointError(f"an event is longer than {MAX_EVENT_BYTES} bytes")
         return [
             line[len(DATA_PREFIX) :].strip()
             for line in lines
@@ -199,13 +204,13 @@
 
 @_adapter("plain")
 async def _call_plain(target: EndpointCall) -> bytes:
-    given = _read_input(target.call)
-    body = {"input": given.input, "previous": given.previous}
+    stage_input = _read_input(target.call)
+    body = {"input": stage_input.input, "previous": stage_input.previous}
     headers = {"Idempotency-Key": target.call.call_key} if target.call.call_key else {}
     return await _post(target, f"/v1/{target.call.stage_name}", body, headers)
 
 
-# Shared by the adapters
+# Common functions of the adapters
 
 _JSON_HEADERS = {"Content-Type": "application/json"}
 
@@ -218,21 +223,22 @@
     if bytes(previous) == b"null":
         return []
     try:
-        return msgspec.json.decode(previous, type=_Found).documents
+        return msgspec.json.decode(previous, type=_RetrieverOutput).documents
     except msgspec.ValidationError:
         return []
 
 
 def _timeout(call: StageCall) -> aiohttp.ClientTimeout:
-    # A call that may not be repeated is waited for past the caller's deadline:
-    # its effect may come late, and a repeat must learn what came of it.
+    # An at-most-once call is awaited past the caller's deadline: its effect may happen
+    # late, and a repeat of the call must get its outcome.
     if not call.repeatable:
         return aiohttp.ClientTimeout(total=None)
-    # A frozen endpoint keeps its connection open and says nothing. Half of the
-    # time that is left goes without a byte, then the other half serves elsewhere.
+    # A frozen endpoint keeps its connection open without sending anything. The call
+    # fails after half of the remaining time without a byte, so that the other half is
+    # left for a retry at another endpoint.
     return aiohttp.ClientTimeout(
         total=call.remaining_s + CALL_MARGIN_S,
-        sock_read=max(MIN_PROGRESS_S, call.remaining_s * PROGRESS_SHARE),
+        sock_read=max(MIN_READ_TIMEOUT_S, call.remaining_s * READ_TIMEOUT_SHARE),
     )
 
 
@@ -252,5 +258,6 @@
 async def _raise_for_status(response: aiohttp.ClientResponse) -> None:
     if response.status >= 400:
         raise EndpointError(
-            f"endpoint answered {response.status}", permanent=response.status < 500
+            f"endpoint returned HTTP status {response.status}",
+            permanent=response.status < 500,
         )
--- a/packages/wire/src/amaranthtally/wire/gateway.capnp
+++ b/packages/wire/src/amaranthtally/wire/gateway.capnp
@@ -84,7 +84,7 @@
   # it is not empty.
   free @4 (results :List(StoredResult), ended :Text) -> ();
   # Returns the part at a byte offset of the compressed snapshot with that checksum, or
-  # else the first part of the newest snapshot. Parts are small, so that other calls over
+  # else the first part of the newest snapshot. Parts are small, so that other calls on
   # the same slow link are answered in time.
   read @5 (document :Document, checksum :UInt32, offset :UInt32)
       -> (version :UInt64, size :UInt32, checksum :UInt32, offset :UInt32, part :Data);
--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -129,9 +129,7 @@
         except capnp.KjException as error:
             raise PeerLostError(self._peer, str(error).splitlines()[0]) from error
         except TimeoutError as error:
-            raise PeerLostError(
-                self._peer, "no reply before the time-out"
-            ) from error
+            raise PeerLostError(self._peer, "no reply before the time-out") from error
 
 
 class _GatewayServer(gateway_schema.Gateway.Server):
--- a/tests/unit/test_event_splitter.py
+++ b/tests/unit/test_event_splitter.py
@@ -1,4 +1,4 @@
-"""An engine's events, however its bytes are cut."""
+"""The splitter of engine events."""
 
 import pytest
 
@@ -8,21 +8,23 @@
 
 
 @pytest.mark.parametrize("size", range(1, len(STREAM) + 1))
-def test_events_do_not_depend_on_how_the_bytes_are_cut(size):
+def test_events_do_not_depend_on_chunk_boundaries(size):
     """
-    A word is missing or cut in two. The network cuts an engine's stream anywhere.
+    Guards against missing or truncated tokens: the network can split an engine's
+    stream at any byte.
     """
     splitter = EventSplitter()
-    found = []
+    events = []
     for start in range(0, len(STREAM), size):
-        found += splitter.feed(STREAM[start : start + size])
-    assert found == [b"one", b"two", b"[DONE]"]
-    assert splitter.rest == b""
+        events += splitter.feed(STREAM[start : start + size])
+    assert events == [b"one", b"two", b"[DONE]"]
+    assert splitter.incomplete_line == b""
 
 
-def test_an_event_without_end_is_refused():
+def test_an_unterminated_event_is_rejected():
     """
-    A sidecar runs out of memory. An engine sends a line that never ends.
+    Guards against a sidecar that runs out of memory when an engine sends a line
+    without an end.
     """
     splitter = EventSplitter()
     with pytest.raises(EndpointError):
