--- a/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -113,7 +113,7 @@
         A service may hang for good in a call, which nothing else would end: a stop
         that waited for it would be killed, and every record lost with it.
         """
-        return sum(waiters.gone_s > wait_s for waiters in self._running.values())
+        return sum(waiters.abandoned_s > wait_s for waiters in self._running.values())
 
     async def query_outcome(
         self, key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
@@ -1,4 +1,4 @@
-"""How a sidecar leaves: by a stop signal, or because its host drains."""
+"""Stops a sidecar from taking work: at a stop signal or while its host is drained."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,14 +11,14 @@
 
 __all__ = ["DrainController"]
 
-POLL_S = 0.02
-LINGER_S = 2.0
+POLL_INTERVAL_S = 0.02
+DISCONNECT_TIMEOUT_S = 2.0
 
 log = get_logger()
 
 
 class DrainController:
-    """Tells entries that the sidecar takes no new work, and waits for the rest."""
+    """Announces that the sidecar takes no new work, and waits for accepted calls."""
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
 
     def settings_changed(self, tree: Tree) -> None:
         """
-        Drain, or take work again, as the operators say of this host.
+        Start or stop draining, according to the drain setting of this host.
 
-        An entry that the change has not reached would still send work here: the
-        sidecar refuses it before start, and the entry sends it elsewhere.
+        Entries that do not have the new setting yet still send calls. The sidecar
+        rejects them before they start, and the entries send them elsewhere.
         """
         key = DRAIN_PREFIX + self._settings.host
         draining = bool(tree.get(Scope(), key))
@@ -52,30 +52,31 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """
-        Refuse new work, tell entries, finish what was accepted.
+        Reject new calls, announce this to the entries, and finish accepted calls.
 
-        Idle entries hear nothing in replies, and their next call would meet a
-        closed connection: so each is told. Last, the entries close their
-        connections; a reply that is still being written would be lost otherwise.
+        Idle entries get no replies that carry the load, and their next call would
+        fail at a closed connection, so the load is announced to each entry. At the
+        end the entries close their connections, so that replies that are still being
+        written are not lost.
         """
-        self._handler.leave()
+        self._handler.stop_accepting()
         await self._announce()
         await asyncio.sleep(self._settings.drain_wait)
         if self._handler.unfinished:
-            # A process manager may kill a sidecar that a long call holds up. The
-            # records of what has ended are with its peers by then.
+            # A process manager may kill a sidecar that waits for a long call. The
+            # records of ended calls are handed over before the wait for this reason.
             await self._hand_over(False)
         while self._handler.unfinished:
-            await asyncio.sleep(POLL_S)
-        await self._linger()
+            await asyncio.sleep(POLL_INTERVAL_S)
+        await self._wait_for_disconnects()
 
-    async def _linger(self) -> None:
-        for _ in range(int(LINGER_S / POLL_S)):
+    async def _wait_for_disconnects(self) -> None:
+        for _ in range(int(DISCONNECT_TIMEOUT_S / POLL_INTERVAL_S)):
             if not self._connections.entry_count:
                 return
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _announce(self) -> None:
         await self._connections.announce_load(self._handler.load())
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_call.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_call.py
@@ -1,4 +1,4 @@
-"""One call to the endpoint and what its end says."""
+"""Calls the endpoint and maps every outcome to a call result."""
 
 from dataclasses import dataclass
 
@@ -12,16 +12,16 @@
 )
 from amaranthtally.wire import StageCall, Status
 
-__all__ = ["CallEnd", "call_endpoint"]
+__all__ = ["CallResult", "call_endpoint"]
 
 
 @dataclass(frozen=True, slots=True)
-class CallEnd:
+class CallResult:
     """
-    How a call ended.
+    The result of a call.
 
-    ``overloaded`` where the endpoint may have too much to do, ``permanent`` where
-    another attempt would meet the same error, ``missing`` where it lacks the model.
+    ``overloaded`` is true if the endpoint may be overloaded, ``permanent`` if a retry
+    would meet the same error, ``model_missing`` if the engine lacks the call's model.
     """
 
     status: Status
@@ -29,28 +29,30 @@
     reason: str = ""
     permanent: bool = False
     overloaded: bool = False
-    missing: bool = False
+    model_missing: bool = False
 
 
-async def call_endpoint(adapter: Adapter, target: EndpointCall) -> CallEnd:
-    """Call the endpoint; every error of its own or of the network is an end."""
+async def call_endpoint(adapter: Adapter, target: EndpointCall) -> CallResult:
+    """Call the endpoint; endpoint and network errors become results."""
     try:
-        return CallEnd(Status.FINISHED, await adapter(target))
+        return CallResult(Status.FINISHED, await adapter(target))
     except ModelMissingError as error:
-        return CallEnd(Status.NOT_RUN, reason=str(error), missing=True)
+        return CallResult(Status.NOT_RUN, reason=str(error), model_missing=True)
     except EndpointError as error:
-        return CallEnd(
+        return CallResult(
             Status.FAILED,
             reason=str(error),
             permanent=error.permanent,
             overloaded=not error.permanent,
         )
     except (aiohttp.ClientError, TimeoutError) as error:
-        return _broken(target.call, error)
+        return _connection_failed(target.call, error)
 
 
-def _broken(call: StageCall, error: Exception) -> CallEnd:
+def _connection_failed(call: StageCall, error: Exception) -> CallResult:
     if isinstance(error, aiohttp.ClientConnectorError):
-        return CallEnd(Status.NOT_RUN, reason="endpoint unreachable", overloaded=True)
+        return CallResult(
+            Status.NOT_RUN, reason="endpoint unreachable", overloaded=True
+        )
     status = Status.FAILED if call.repeatable else Status.UNKNOWN
-    return CallEnd(status, reason=type(error).__name__, overloaded=True)
+    return CallResult(status, reason=type(error).__name__, overloaded=True)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
@@ -1,4 +1,4 @@
-"""All that a sidecar keeps for one endpoint; nothing of it is shared with others."""
+"""The service of one endpoint; endpoints of one process share no other state."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedResources:
-    """What the endpoints of one process share."""
+    """Resources shared by the endpoints of one process."""
 
     session: aiohttp.ClientSession
     state: SettingsState
@@ -37,10 +37,10 @@
 
 
 class EndpointService:
-    """One endpoint: its run queue, its records, its engine, its way out."""
+    """One endpoint: its call handler, engine state, connections and shutdown."""
 
     def __init__(
-        self, settings: SidecarSettings, shared: SharedResources, alone: bool
+        self, settings: SidecarSettings, shared: SharedResources, is_only_endpoint: bool
     ) -> None:
         self.settings = settings
         self.connections = EntryConnections()
@@ -50,7 +50,7 @@
             if settings.endpoint_kind == ENGINE_KIND
             else None
         )
-        labels = {} if alone else {"endpoint": settings.endpoint}
+        labels = {} if is_only_endpoint else {"endpoint": settings.endpoint}
         self._metrics = EndpointMetrics(shared.metrics, labels)
         self._state = shared.state
         self.handler = StageHandler(
@@ -61,17 +61,17 @@
             self.models,
             self.cache,
         )
-        self.departure = DrainController(
-            settings, self.handler, self.connections, self.give_records
+        self.drain = DrainController(
+            settings, self.handler, self.connections, self.hand_over_records
         )
         self.port = 0
 
-    async def announce(self) -> None:
-        """Tell greeted entries of the load."""
+    async def announce_load(self) -> None:
+        """Announce the load to the connected entries."""
         await self.connections.announce_load(self.handler.load())
 
-    async def give_records(self, final: bool) -> None:
-        """Hand the records of effects to peers."""
+    async def hand_over_records(self, final: bool) -> None:
+        """Hand the records of at-most-once calls to peers."""
         await hand_over(
             self.handler.handovers(final),
             self.settings.endpoint,
@@ -80,7 +80,7 @@
         )
 
     def refresh_metrics(self) -> None:
-        """Set the gauges of this endpoint."""
+        """Update the gauges of this endpoint."""
         self._metrics.refresh(self.handler.load(), len(self.cache or ()))
 
 
@@ -88,27 +88,33 @@
     stack: AsyncExitStack,
     settings: SidecarSettings,
     shared: SharedResources,
-    alone: bool,
+    is_only_endpoint: bool,
 ) -> EndpointService:
-    """Serve one endpoint until the stack closes; ``alone`` in its process or not."""
-    part = EndpointService(settings, shared, alone)
-    shared.state.listen(part.departure.settings_changed)
-    if part.cache is not None:
-        run_beside(stack, part.cache.follow_events())
+    """
+    Serve one endpoint until the stack closes.
+
+    ``is_only_endpoint`` omits the endpoint from the labels of the process's metrics.
+    """
+    service = EndpointService(settings, shared, is_only_endpoint)
+    shared.state.listen(service.drain.settings_changed)
+    if service.cache is not None:
+        run_beside(stack, service.cache.follow_events())
         if settings.platform_url:
-            await _follow_orders(stack, part, shared.state)
+            await _start_reconciler(stack, service, shared.state)
     host, port = split_address(settings.wire_address)
-    part.port = await stack.enter_async_context(
-        serve_sidecar(part.handler, host, port, part.connections)
+    service.port = await stack.enter_async_context(
+        serve_sidecar(service.handler, host, port, service.connections)
     )
-    return part
+    return service
 
 
-async def _follow_orders(
-    stack: AsyncExitStack, part: EndpointService, state: SettingsState
+async def _start_reconciler(
+    stack: AsyncExitStack, service: EndpointService, state: SettingsState
 ) -> None:
-    headers = {CALLER_HEADER: part.settings.endpoint}
+    headers = {CALLER_HEADER: service.settings.endpoint}
     session = await stack.enter_async_context(aiohttp.ClientSession(headers=headers))
-    orders = ModelReconciler(part.settings, session, part.models, part.announce)
-    state.listen(orders.settings_changed)
-    run_beside(stack, orders.run())
+    reconciler = ModelReconciler(
+        service.settings, session, service.models, service.announce_load
+    )
+    state.listen(reconciler.settings_changed)
+    run_beside(stack, reconciler.run())
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -96,7 +96,7 @@
         """Seconds since this incarnation began."""
         return self._loop.time() - self._born
 
-    def leave(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no new work from now on."""
         self._leaving = True
 
@@ -253,7 +253,7 @@
             self._queue.released()
             self._start_next()
             raise
-        if end.missing:
+        if end.model_missing:
             self._models.missed(call.model)
         ended = self._loop.time()
         self._queue.finished(ended, ended - started, end.overloaded)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/metrics.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/metrics.py
@@ -10,7 +10,7 @@
 
 
 class SidecarMetrics:
-    """The metrics of one process, whatever the number of its endpoints."""
+    """The metrics of one process, for all of its endpoints."""
 
     def __init__(self) -> None:
         self.calls = Counter("amaranthtally_calls_total", "Calls by status.")
@@ -23,18 +23,21 @@
             name: Gauge(f"amaranthtally_calls_{name}", f"Calls {name} now.")
             for name in ("running", "queued", "limit")
         }
-        self.leaving = Gauge("amaranthtally_leaving", "1 while it takes no new work.")
+        self.leaving = Gauge(
+            "amaranthtally_leaving", "1 while no new work is accepted."
+        )
         self.prefix_blocks = Gauge(
             "amaranthtally_prefix_blocks",
-            "Blocks of prompts that the engine is taken to hold in its cache.",
+            "Prompt blocks that the engine's cache is assumed to hold.",
         )
 
 
 class EndpointMetrics:
     """
-    Counts one endpoint's calls; gauges are set when a scrape asks for them.
+    The metrics of one endpoint; its gauges are updated at each scrape.
 
-    ``labels`` tell the endpoints of a process apart; empty where there is one.
+    ``labels`` distinguish the endpoints of a process; they are empty if there is
+    only one endpoint.
     """
 
     def __init__(self, metrics: SidecarMetrics, labels: dict[str, str]) -> None:
@@ -42,13 +45,13 @@
         self._labels = labels
 
     def call_ended(self, reply: StageReply) -> None:
-        """Count a call."""
+        """Record a call's status and its time at the endpoint."""
         self._metrics.calls.inc({**self._labels, "status": reply.status.value})
         if reply.run_s:
             self._metrics.run_seconds.observe(self._labels, reply.run_s)
 
     def refresh(self, load: Load, prefix_blocks: int) -> None:
-        """Set the gauges."""
+        """Update the gauges."""
         gauges = self._metrics.load
         gauges["running"].set(self._labels, load.running)
         gauges["queued"].set(self._labels, load.queued)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
@@ -34,27 +34,27 @@
 
 
 async def run_sidecar(endpoints: Sequence[SidecarSettings]) -> None:
-    """Serve the endpoints of a host until a stop signal, then finish their calls."""
+    """Serve the endpoints of a host until a stop signal, then finish accepted calls."""
     async with AsyncExitStack() as stack:
         await stack.enter_async_context(capnp.kj_loop())
         stop = stack.enter_context(stop_on_signal())
         shared = await _open_shared(stack, [s.endpoint for s in endpoints])
-        alone = len(endpoints) == 1
-        parts = [
-            await open_endpoint(stack, settings, shared, alone)
+        is_only_endpoint = len(endpoints) == 1
+        services = [
+            await open_endpoint(stack, settings, shared, is_only_endpoint)
             for settings in endpoints
         ]
-        http_port = await _serve_health(stack, stop, parts)
-        for part in parts:
+        http_port = await _serve_health(stack, stop, services)
+        for service in services:
             log.info(
                 "listening",
                 role="sidecar",
-                name=part.settings.endpoint,
-                port=part.port,
+                name=service.settings.endpoint,
+                port=service.port,
                 http=http_port,
             )
         await stop.wait()
-        await asyncio.gather(*(_leave(stop, part) for part in parts))
+        await asyncio.gather(*(_shut_down(stop, service) for service in services))
     for settings in endpoints:
         log.info("sidecar_stopped", endpoint=settings.endpoint)
 
@@ -69,30 +69,30 @@
 
 
 async def _serve_health(
-    stack: AsyncExitStack, stop: StopSignal, parts: list[EndpointService]
+    stack: AsyncExitStack, stop: StopSignal, services: list[EndpointService]
 ) -> int:
     def refresh() -> None:
-        for part in parts:
-            part.refresh_metrics()
+        for service in services:
+            service.refresh_metrics()
 
     app = web.Application()
     add_health_routes(app, lambda: not stop.is_set(), refresh)
-    address = parts[0].settings.http_address
+    address = services[0].settings.http_address
     return await stack.enter_async_context(serve_http(app, address, HTTP_GRACE_S))
 
 
-async def _leave(stop: StopSignal, part: EndpointService) -> None:
-    settings = part.settings
+async def _shut_down(stop: StopSignal, service: EndpointService) -> None:
+    settings = service.settings
     log.info("sidecar_leaving", endpoint=settings.endpoint)
-    work = part.departure.leave()
+    work = service.drain.shut_down()
     if not await stop.run_until_forced(work, settings.drain_limit):
         log.warning("sidecar_stop_forced", endpoint=settings.endpoint)
-    # Without this every repeat of an effect that ran here would be answered
-    # unknown from now on: nobody else knows what became of it.
-    await part.give_records(True)
+    # Only this process knows the outcomes of the at-most-once calls that ran here.
+    # Without the handover every repeat of them would be answered with ``unknown``.
+    await service.hand_over_records(True)
 
 
 def _open_session() -> aiohttp.ClientSession:
-    # The run queue bounds what runs at once; a second bound here would make
-    # calls wait where the queue cannot see them.
+    # The run queue limits the concurrency. A limit in the connector as well would
+    # delay calls without the queue's knowledge.
     return aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/tombstones.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/tombstones.py
@@ -1,4 +1,4 @@
-"""What a sidecar remembers of calls that were cancelled."""
+"""Remembers the ids of cancelled calls."""
 
 from collections import OrderedDict
 
@@ -8,7 +8,7 @@
 
 
 class Tombstones:
-    """Ids of calls cancelled before they started, the last ``capacity`` of them."""
+    """The ids of the last ``capacity`` calls that were cancelled before starting."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -18,7 +18,7 @@
         return call_id in self._ids
 
     def add(self, call_id: CallId) -> None:
-        """Refuse any copy of this call that arrives later."""
+        """Add a call, so that copies of it that arrive later are rejected."""
         self._ids[call_id] = None
         while len(self._ids) > self._capacity:
             self._ids.popitem(last=False)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/waiters.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/waiters.py
@@ -1,4 +1,4 @@
-"""Who still waits for a call that may not be repeated."""
+"""Counts the entries that await the result of an at-most-once call."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -9,30 +9,30 @@
 
 class Waiters:
     """
-    The entries that wait for one call's result.
+    The entries that await the result of one call.
 
-    An entry waits for as long as its caller does: it withdraws its question at the
-    caller's deadline, and when it dies its connection ends.
+    An entry waits as long as its caller: it cancels its request at the caller's
+    deadline, and its connection ends if it dies.
     """
 
-    __slots__ = ("_clock", "_left_at", "_present")
+    __slots__ = ("_clock", "_last_exit", "_waiting")
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._present = 0
-        self._left_at = inf
+        self._waiting = 0
+        self._last_exit = inf
 
     @property
-    def gone_s(self) -> float:
-        """Seconds since the last one left; less than 0 while one waits."""
-        return -inf if self._present else self._clock() - self._left_at
+    def abandoned_s(self) -> float:
+        """Seconds since the last entry stopped waiting; ``-inf`` while one waits."""
+        return -inf if self._waiting else self._clock() - self._last_exit
 
     @contextmanager
     def join(self) -> Iterator[None]:
-        """Wait for as long as the context is open."""
-        self._present += 1
+        """Count a waiting entry until the context exits."""
+        self._waiting += 1
         try:
             yield
         finally:
-            self._present -= 1
-            self._left_at = self._clock()
+            self._waiting -= 1
+            self._last_exit = self._clock()
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/weights.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/weights.py
@@ -1,4 +1,4 @@
-"""Copies model weights from the platform's store to the engine."""
+"""Copies model weights from the platform's weight store to an engine."""
 
 import asyncio
 from random import uniform
@@ -14,13 +14,13 @@
 READ_TIMEOUT_S = 30.0
 TOO_MANY_REQUESTS = 429
 DEFAULT_WAIT_S = 1.0
-MAX_SPREAD = 8.0
+MAX_JITTER = 8.0
 
 log = get_logger()
 
 
 class WeightsError(Exception):
-    """The store or the engine did not take part."""
+    """The weight store or the engine failed during a copy."""
 
     def __init__(self, model: str, detail: str) -> None:
         super().__init__(
@@ -33,20 +33,21 @@
     session: aiohttp.ClientSession, store_url: str, engine_url: str, model: str
 ) -> None:
     """
-    Stream a model's weights to the engine; raises ``WeightsError``.
+    Stream a model's weights to the engine; raise ``WeightsError`` on failure.
 
-    The store refuses what is over its rate and says when to come back. Sidecars
-    that were refused together would come back together and be refused again: each
-    waits a random time on top, from a range that doubles with every refusal.
+    The store is rate-limited: it rejects excess requests with the time after which to
+    retry. Sidecars that are rejected together would retry together and be rejected
+    again, so each multiplies that time by a random factor, whose range doubles with
+    every rejection.
     """
-    spread = 1.0
+    jitter = 1.0
     while True:
         wait_s = await _try_copy(session, store_url, engine_url, model)
         if wait_s is None:
             return
         log.info("weights_put_off", model=model, wait_s=round(wait_s, 3))
-        await asyncio.sleep(wait_s * uniform(1.0, 1.0 + spread))
-        spread = min(MAX_SPREAD, spread * 2)
+        await asyncio.sleep(wait_s * uniform(1.0, 1.0 + jitter))
+        jitter = min(MAX_JITTER, jitter * 2)
 
 
 async def _try_copy(
