--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -92,7 +92,7 @@
 async def run_gateway(
     settings: GatewaySettings,
     path: Path,
-    lines: BoundedWriter,
+    writer: BoundedWriter,
     reloads: ReloadSignal,
 ) -> None:
     """Serve callers until a stop signal, then finish the requests in flight."""
@@ -100,7 +100,7 @@
         await stack.enter_async_context(capnp.kj_loop())
         stack.enter_context(reloads.taken_by(lambda: _reload(path)))
         stop = stack.enter_context(stop_on_signal())
-        gateway = await _start(settings, stack, stop, lines)
+        gateway = await _start(settings, stack, stop, writer)
         log.info("listening", role="gateway", name=settings.name, **gateway.ports)
         await stop.wait()
         log.info("gateway_leaving", in_flight=gateway.executor.in_flight)
@@ -127,7 +127,7 @@
     settings: GatewaySettings,
     stack: AsyncExitStack,
     stop: StopSignal,
-    lines: BoundedWriter,
+    writer: BoundedWriter,
 ) -> _RunningGateway:
     metrics = GatewayMetrics()
     session = await stack.enter_async_context(endpoint_session())
@@ -185,7 +185,7 @@
         peer_updater.prober.run(),
         executor.tick(),
         connections.run_heartbeat(lambda: executor.peers_to_check),
-        lines.keep_draining(),
+        writer.keep_draining(),
     ]:
         run_beside(stack, work)
 
@@ -201,7 +201,7 @@
             configuration_behind_s=configuration.behind_s,
             records=records.revision,
             store_connected=store.is_connected,
-            log_lines_lost=lines.dropped,
+            log_lines_lost=writer.dropped,
         )
 
     arrivals = ArrivalBuilder(Random(random.getrandbits(SEED_BITS)))
--- a/packages/platform/src/amaranthtally/platform/errors.py
+++ b/packages/platform/src/amaranthtally/platform/errors.py
@@ -35,7 +35,7 @@
     """The platform no longer stores the changes from which a watch was to start."""
 
     def __str__(self) -> str:
-        return "platform history compacted; list the keys again and watch from there"
+        return "platform history compacted; read the keys again and watch from there"
 
 
 PlatformError = PlatformUnavailable | PlatformOutcomeUnknown | PlatformHistoryCompacted
