--- a/tests/adapter/test_names.py
+++ b/tests/adapter/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter."""
+"""Only the adapter uses the platform's names."""
 
 import re
 from pathlib import Path
@@ -8,20 +8,20 @@
     r"[Xx]-[Aa]maranthtally-|/v1/(kv-|stage-|hold-|report)|op/config|itlTargetMs|"
     r"latencySloMs|inputHandles|kvUsage|coldLeftMs|remainingMs|kv_(key|range|watch)"
 )
-# The stand-in of the store speaks its names, as it takes its place in tests.
-SPEAKS_THEM = "standins"
+# The stand-in that replaces the platform's store in tests uses its names too.
+EXEMPT_PACKAGE = "standins"
 
 
-def test_no_module_outside_the_adapter_knows_the_platforms_names():
-    found = [
+def test_no_module_outside_the_adapter_uses_the_platforms_names():
+    offenders = [
         path
         for path in (ROOT / "packages").rglob("*.py")
-        if SPEAKS_THEM not in path.parts and NAMES.search(path.read_text("utf-8"))
+        if EXEMPT_PACKAGE not in path.parts and NAMES.search(path.read_text("utf-8"))
     ]
-    assert found == []
+    assert offenders == []
 
 
-def test_the_adapter_is_small_and_does_nothing_but_translate():
+def test_the_adapter_is_small_and_only_translates():
     modules = list((ROOT / "platform" / "src").rglob("*.py"))
     text = "\n".join(path.read_text("utf-8") for path in modules)
     assert len(text.splitlines()) < 1500
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -1,4 +1,4 @@
-"""What the users' platform says, decoded once, and what is said to it."""
+"""Decoding and encoding of the messages of the users' platform."""
 
 import json
 
@@ -57,7 +57,7 @@
 # Configuration
 
 
-def test_a_route_is_decoded_into_seconds_and_shares():
+def test_a_route_is_decoded():
     (route,) = table_of(routes=[ROUTE]).routes
     assert route.kind is CallKind.STREAMING
     assert (route.timeout_s, route.objective_s, route.pause_s) == (8.0, 1.8, 0.5)
@@ -66,7 +66,7 @@
     assert route.may_repeat
 
 
-def test_callers_of_a_stream_leave_after_the_longest_of_three_times():
+def test_a_streams_stall_timeout_is_the_longest_of_three_times():
     def patience_s(**fields):
         return table_of(routes=[ROUTE | fields]).routes[0].patience_s
 
@@ -76,7 +76,7 @@
     assert patience_s(type="idempotent") == 0.0
 
 
-def test_only_what_may_be_resumed_or_is_idempotent_may_repeat():
+def test_only_idempotent_and_resumable_routes_may_repeat():
     kinds = {
         ("idempotent", False): True,
         ("non_idempotent", False): False,
@@ -88,7 +88,7 @@
         assert table_of(routes=[route]).routes[0].may_repeat is expected
 
 
-def test_the_longest_prefix_of_the_host_is_the_route():
+def test_the_route_with_the_longest_matching_prefix_is_chosen():
     longer = ROUTE | {"name": "longer", "prefix": "/a/b/"}
     table = table_of(routes=[ROUTE, longer])
     assert table.match("api.example", "/a/b/c").name == "longer"
@@ -97,13 +97,13 @@
     assert table.match("other.example", "/a/") is None
 
 
-def test_limits_of_endpoints_for_pieces_are_decoded():
+def test_piece_limits_are_decoded():
     limits = table_of(services=[SERVICE]).pools["p"].pieces
     assert (limits.batch, limits.memory_bytes, limits.result_ttl_s) == (8, 17.6e6, 4.0)
     assert limits.full_call_s() == pytest.approx(0.37)
 
 
-def test_keys_name_accounts_and_may_be_needed():
+def test_keys_identify_accounts_and_are_required_with_tenants():
     tenants = [{"name": "t", "apiKeys": ["k1", "k2"], "priority": 3}]
     table = table_of(tenants=tenants)
     assert table.needs_keys
@@ -136,14 +136,22 @@
 
 
 def test_a_record_is_decoded():
-    found = read_record().unwrap()
-    assert (found.id, found.pool, found.address) == ("i-1", "s", "10.0.0.9:8080")
-    assert (found.region, found.data_centre) == ("transilvania", "cluj-a")
-    assert (found.slots, found.incarnation, found.takes_calls) == (128, 17, True)
+    endpoint = read_record().unwrap()
+    assert (endpoint.id, endpoint.pool, endpoint.address) == (
+        "i-1",
+        "s",
+        "10.0.0.9:8080",
+    )
+    assert (endpoint.region, endpoint.data_centre) == ("transilvania", "cluj-a")
+    assert (endpoint.slots, endpoint.incarnation, endpoint.takes_calls) == (
+        128,
+        17,
+        True,
+    )
     assert not read_record(state="draining").unwrap().takes_calls
 
 
-def test_another_start_under_the_same_id_is_another_endpoint():
+def test_a_restarted_endpoint_with_the_same_id_is_a_different_one():
     assert not read_record().unwrap().stands_like(read_record(born=18).unwrap())
 
 
@@ -158,14 +166,14 @@
 # Callers
 
 
-def caller(**headers):
+def read_request(**headers):
     base = {"Host": "api.example:80", names.REQUEST_ID: "9c41"}
-    found = read_caller_request(CIMultiDict(base | headers), "/a/b%20c?q=1")
-    return found.unwrap()
+    request = read_caller_request(CIMultiDict(base | headers), "/a/b%20c?q=1")
+    return request.unwrap()
 
 
 def test_a_request_is_decoded():
-    found = caller(
+    request = read_request(
         **{
             names.DEADLINE_MS: "8000",
             names.AUTHORIZATION: "Token secret",
@@ -175,18 +183,22 @@
             names.CHUNK_KEY: "7c1e",
         }
     )
-    assert (found.host, found.path, found.key) == ("api.example", "/a/b%20c", "secret")
-    assert found.deadline_s == 8.0
-    assert found.prompt == (PromptPart(0x5C1E07A2, 800), PromptPart(0x91BD3F06, 410))
-    assert (found.prompt_tokens, found.output_tokens) == (1460, 80)
-    assert (found.piece_counts, found.piece_key) == ((2, 0, 6), "7c1e")
+    assert (request.host, request.path, request.key) == (
+        "api.example",
+        "/a/b%20c",
+        "secret",
+    )
+    assert request.deadline_s == 8.0
+    assert request.prompt == (PromptPart(0x5C1E07A2, 800), PromptPart(0x91BD3F06, 410))
+    assert (request.prompt_tokens, request.output_tokens) == (1460, 80)
+    assert (request.piece_counts, request.piece_key) == ((2, 0, 6), "7c1e")
 
 
-def test_the_callers_own_headers_go_on_and_the_systems_are_set():
-    found = caller(
+def test_callers_headers_are_forwarded_and_the_systems_are_set():
+    request = read_request(
         Accept="x", Connection="X-Hop", **{"X-Hop": "1", names.ACCOUNT: "forged"}
     )
-    sent = call_headers(found, CallHead("i-1", 1.5, "account", ("h1", "h2"), "12", 3))
+    sent = call_headers(request, CallHead("i-1", 1.5, "account", ("h1", "h2"), "12", 3))
     assert sent["Accept"] == "x"
     assert "X-Hop" not in sent
     assert sent.getall(names.ACCOUNT) == ["account"]
@@ -196,10 +208,10 @@
     assert sent[names.LAST_EVENT_ID] == "12"
 
 
-# Answers
+# Responses
 
 
-def test_the_head_of_an_answer_is_decoded():
+def test_the_head_of_a_response_is_decoded():
     head = read_answer(
         200,
         CIMultiDict(
@@ -218,14 +230,14 @@
     assert {k for k, _ in head.headers} == {names.SIGNATURE, names.LOAD, "X-Own"}
 
 
-def test_only_its_word_or_another_id_says_that_nothing_ran():
+def test_only_the_header_or_status_421_means_that_nothing_ran():
     assert read_answer(503, CIMultiDict({names.NOT_EXECUTED: "1"})).not_run
     assert read_answer(421, CIMultiDict()).not_run
     assert not read_answer(503, CIMultiDict()).not_run
     assert not read_answer(429, CIMultiDict()).not_run
 
 
-def test_what_an_endpoint_says_wrongly_is_taken_as_not_said():
+def test_malformed_headers_of_a_response_are_ignored():
     headers = CIMultiDict({names.LOAD: "3,x,8", names.RETRY_AFTER: "soon"})
     head = read_answer(503, headers)
     assert (head.load, head.retry_after_s) == (None, 0.0)
@@ -240,7 +252,7 @@
 )
 
 
-def test_pieces_are_written_with_what_is_left_of_their_time():
+def test_pieces_are_encoded_with_their_remaining_time():
     first, second = json.loads(pieces.write_pieces(PIECES, 10.0))["entries"]
     assert first["remainingMs"] in (899, 900)
     assert (first["phase"], first["segment"], first["key"]) == (0, 2, "key")
@@ -249,7 +261,7 @@
     assert "key" not in second
 
 
-def test_outcomes_are_read_in_order():
+def test_outcomes_are_decoded_in_order():
     body = b'{"entries":[{"handle":"h"},{"reason":"gone"}]}'
     outcomes = pieces.read_outcomes(body, PIECES).unwrap()
     assert outcomes[0].handle == "h"
@@ -257,14 +269,14 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"entries":[{"handle":"h"}]}', b"\xff"])
-def test_outcomes_that_do_not_fit_the_pieces_are_an_error(body):
+def test_outcomes_that_do_not_match_the_pieces_are_an_error(body):
     assert pieces.read_outcomes(body, PIECES).is_err()
 
 
 # Store
 
 
-def test_a_transaction_is_written_as_the_store_reads_it():
+def test_a_transaction_is_encoded():
     call = store.transact(
         [store.StoreCondition("k", 0)], [store.StoreWrite("k", b"node-1", 7)]
     )
@@ -275,7 +287,7 @@
     }
 
 
-def test_events_are_read_with_removals():
+def test_events_are_decoded_with_removals():
     body = json.dumps(
         {
             "events": [
@@ -285,20 +297,20 @@
             "at": 413,
         }
     ).encode()
-    found = store.read_events(body).unwrap()
-    assert found.revision == 413
-    assert found.items == (
+    events = store.read_events(body).unwrap()
+    assert events.revision == 413
+    assert events.items == (
         store.StoreItem("a", b"node-1", 412, 7),
         store.StoreItem("b", None, 413),
     )
 
 
-def test_a_value_that_is_no_base64_stays_visible_as_malformed():
+def test_a_value_that_is_not_base64_is_kept_as_an_empty_one():
     body = b'{"entries":[{"key":"a","value":"*","revision":1}],"at":1}'
     assert store.read_page(body).unwrap().items == (store.StoreItem("a", b"", 1),)
 
 
-def test_an_answer_that_can_not_be_read_is_an_error():
+def test_an_undecodable_response_is_an_error():
     for read in (store.read_item, store.read_page, store.read_events, store.read_lease):
         assert read(b"<html>").is_err()
     assert store.read_revision(b'{"revision":4}') == Ok(4)
--- a/tests/failure/test_early_bytes.py
+++ b/tests/failure/test_early_bytes.py
@@ -1,4 +1,4 @@
-"""A peer's first bytes come before the server's first read."""
+"""A peer's first bytes that arrive before the server's first read."""
 
 import socket
 from contextlib import AsyncExitStack
@@ -31,10 +31,12 @@
 
 def test_bytes_that_arrive_before_the_first_read_are_kept():
     """
-    A sidecar on a busy host dies with SIGSEGV as entries connect, and every call
-    in it is lost. The entry's first bytes reach the socket before the server's
-    first read; pycapnp then pauses the transport from inside uvloop's buffer
-    call. Without WireLoop this test ends the whole pytest process.
+    Guards against a sidecar that crashes with SIGSEGV as entries connect.
+
+    On a busy host, an entry's first bytes reach the socket before the server's first
+    read. pycapnp then pauses the transport from inside uvloop's buffer callback, and
+    all calls in the process are lost. Without WireLoop this test kills the whole pytest
+    process.
     """
 
     async def scenario():
--- a/tests/failure/test_instant_runs.py
+++ b/tests/failure/test_instant_runs.py
@@ -1,16 +1,16 @@
-"""Runs that take no time at all."""
+"""Runs of zero duration."""
 
 from amaranthtally.policy import Arrival, Fate, Pipeline, Planner, Send, StageResult
 from tests.policy_machines.planner_machine import ENCODE, START
 
 
-def test_next_request_is_sent_after_a_run_of_no_time():
+def test_next_request_is_sent_after_a_run_of_zero_duration():
     """
-    A caller's request ends with an internal error instead of an answer.
+    Guards against a division by zero that fails a caller's request.
 
-    An endpoint answers from its own cache within the clock's resolution, so that
-    the sidecar tells a run of 0 s. The next request for the stage is routed by
-    the learned time, which is now 0, and something divides by it.
+    An endpoint answers from its cache within the clock's resolution, and the sidecar
+    reports a run of 0 s. The next request for the stage is routed by the learned run
+    time, which is then 0.
     """
     planner = Planner(START)
     pipeline = Pipeline("encode", (ENCODE,), 4.0)
--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -1,4 +1,4 @@
-"""What joining the chunks of many streams into one message could break."""
+"""Failures that joining the chunks of many streams into one message could cause."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
 FOREVER_S = 3600.0
 
 
-class DyingSidecar(FakeSidecar):
-    """Its engine dies in each stream, a few chunks after the last message."""
+class FailingSidecar(FakeSidecar):
+    """A sidecar whose engine fails in each stream, a few chunks after a message."""
 
     async def run(self, call, on_chunk):
         self.calls.append(call)
@@ -41,17 +41,18 @@
         return StageReply(call.id, Status.FAILED, reason="died", load=self.load())
 
 
-def test_chunks_held_back_when_an_engine_dies_are_neither_lost_nor_doubled():
+def test_buffered_chunks_of_a_failed_engine_are_neither_lost_nor_duplicated():
     """
-    A repair procedure lacks a step, or has one twice. The engine dies while chunks
-    wait for the next message; the entry hears of the failure first, resumes the
-    stream at what it has, and the held chunks come later or never. Each chunk must
-    come before the reply, so that the resume begins where the engine stopped.
+    Guards against lost or duplicated chunks in a resumed stream. An engine fails while
+    chunks wait for the next message. If the entry received the failure first, it would
+    resume the stream too early, and the buffered chunks would arrive later or never.
+    Each chunk must arrive before the reply, so that the stream resumes where the engine
+    stopped.
     """
 
     async def scenario():
-        bad, good = DyingSidecar("fake-1"), FakeSidecar("fake-2")
-        async with fake_deployment(bad, good, streams=True) as deployment:
+        failing, working = FailingSidecar("fake-1"), FakeSidecar("fake-2")
+        async with fake_deployment(failing, working, streams=True) as deployment:
             answers = await asyncio.gather(
                 *(
                     deployment.call("echo", f"claim {n}", stream=True)
@@ -64,28 +65,28 @@
                 text = "".join(d["text"] for kind, d in events if kind == "chunk")
                 assert text == whole_text(f"claim {number}")
                 assert events[-1][1]["output"]["text"] == text
-            failed = {call.id.request_id for call in bad.calls}
+            failed = {call.id.request_id for call in failing.calls}
             assert failed
-            resumed = [c for c in good.calls if c.id.request_id in failed]
+            resumed = [c for c in working.calls if c.id.request_id in failed]
             assert {c.resume_offset for c in resumed} == {CHUNKS // 2}
 
     run_wire(scenario())
 
 
-class HeldEntry:
-    """Takes parts, and acknowledges them when told to."""
+class DelayedEntry:
+    """An entry that acknowledges received parts only after ``acknowledge`` is set."""
 
     def __init__(self):
-        self.taken = []
-        self.let_go = asyncio.Event()
+        self.received = []
+        self.acknowledge = asyncio.Event()
 
     async def send(self, parts):
-        self.taken.append([(p.stream, p.offset, tuple(p.texts)) for p in parts])
-        await self.let_go.wait()
+        self.received.append([(p.stream, p.offset, tuple(p.texts)) for p in parts])
+        await self.acknowledge.wait()
 
 
 async def run_ready():
-    """Let every task that can run do so."""
+    """Run the event loop until every ready task has run."""
     for _ in range(10):
         await asyncio.sleep(0)
 
@@ -94,37 +95,37 @@
     return CallId(f"request-{number}", 0, 1)
 
 
-def test_a_first_chunk_waits_for_nobody_and_takes_the_held_ones_along():
+def test_a_streams_first_chunk_is_sent_at_once_with_all_buffered_chunks():
     """
-    The first word of a tag suggestion appears late, or another tester's words stand
-    still. Chunks are held back to share messages; a first one must not be.
+    Guards against a late first word and against other streams that stall. Chunks are
+    buffered to share messages; the first chunk of a stream must not be.
     """
 
     async def scenario():
-        entry = HeldEntry()
+        entry = DelayedEntry()
         joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as one, joiner.open(2, call_id(2)) as two:
-            await one.put(3, "a")
+        with joiner.open(1, call_id(1)) as first, joiner.open(2, call_id(2)) as second:
+            await first.put(3, "a")
             await run_ready()
-            await one.put(4, "b")
-            await one.put(5, "c")
+            await first.put(4, "b")
+            await first.put(5, "c")
             await run_ready()
-            assert entry.taken == [[(1, 3, ("a",))]]
-            await two.put(0, "x")
+            assert entry.received == [[(1, 3, ("a",))]]
+            await second.put(0, "x")
             await run_ready()
-            assert entry.taken[1:] == [[(1, 4, ("b", "c")), (2, 0, ("x",))]]
+            assert entry.received[1:] == [[(1, 4, ("b", "c")), (2, 0, ("x",))]]
 
     run_async(scenario())
 
 
-def test_a_stream_ends_after_its_last_chunks_were_taken():
+def test_a_stream_ends_after_its_last_chunks_were_acknowledged():
     """
-    An answer counts as cut off and runs twice. The reply overtook the last chunks,
-    which were still held back, or on their way.
+    Guards against an answer that is taken for truncated and runs again. Its reply
+    overtook the last chunks, which were still buffered or in transit.
     """
 
     async def scenario():
-        entry = HeldEntry()
+        entry = DelayedEntry()
         joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
         with joiner.open(1, call_id(1)) as chunks:
             await chunks.put(0, "a")
@@ -132,25 +133,25 @@
             await chunks.put(1, "b")
             ending = asyncio.create_task(chunks.finish())
             await run_ready()
-            assert entry.taken == [[(1, 0, ("a",))], [(1, 1, ("b",))]]
+            assert entry.received == [[(1, 0, ("a",))], [(1, 1, ("b",))]]
             assert not ending.done()
-            entry.let_go.set()
+            entry.acknowledge.set()
             await ending
 
     run_async(scenario())
 
 
 @pytest.mark.parametrize("acknowledges", [False, True])
-def test_what_a_sidecar_holds_for_an_entry_is_bounded(acknowledges):
+def test_a_sidecars_buffer_for_an_entry_is_bounded(acknowledges):
     """
-    A sidecar is killed for its memory, and every stream on its engine ends. One
-    entry stands still, and the engine's words for its callers pile up.
+    Guards against a sidecar that runs out of memory, which ends every stream on its
+    engine. One entry stalls, and the chunks for its callers accumulate.
     """
 
     async def scenario():
-        entry = HeldEntry()
+        entry = DelayedEntry()
         if acknowledges:
-            entry.let_go.set()
+            entry.acknowledge.set()
         joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
         size = MAX_UNACKNOWLEDGED_CHARS // 4
 
@@ -163,72 +164,73 @@
         await run_ready()
         assert not producing.done()
         held = sum(map(len, [t for p in joiner._held.values() for t in p.texts]))
-        sent = sum(len(t) for parts in entry.taken for _, _, ts in parts for t in ts)
-        waiting = held if acknowledges else held + sent
-        assert waiting <= MAX_UNACKNOWLEDGED_CHARS + size
-        # The end of the connection must let the producer go, or its engine's place
-        # would be held for ever.
+        sent = sum(len(t) for parts in entry.received for _, _, ts in parts for t in ts)
+        pending = held if acknowledges else held + sent
+        assert pending <= MAX_UNACKNOWLEDGED_CHARS + size
+        # Closing the connection must unblock the producer, or it would occupy its slot
+        # at the engine for ever.
         joiner.close()
         await producing
 
     run_async(scenario())
 
 
-def test_a_cancelled_stream_takes_its_held_chunks_along():
+def test_the_buffered_chunks_of_a_cancelled_stream_are_dropped():
     """
-    Words of a request that was given up come after all, and fill the share of the
-    ones that go on until they stand still.
+    Guards against chunks of a cancelled request that are still sent. They use up the
+    buffer of the running streams until these stall.
     """
 
     async def scenario():
-        entry = HeldEntry()
+        entry = DelayedEntry()
         joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as gone:
-            await gone.put(0, "a")
+        with joiner.open(1, call_id(1)) as cancelled:
+            await cancelled.put(0, "a")
             await run_ready()
-            await gone.put(1, "b")
-        await gone.put(2, "c")
+            await cancelled.put(1, "b")
+        await cancelled.put(2, "c")
         with joiner.open(2, call_id(2)) as chunks:
             await chunks.put(0, "x")
             await run_ready()
-        assert entry.taken == [[(1, 0, ("a",))], [(2, 0, ("x",))]]
+        assert entry.received == [[(1, 0, ("a",))], [(2, 0, ("x",))]]
 
     run_async(scenario())
 
 
-def test_a_chunk_that_one_stream_cannot_take_spares_the_others():
+def test_a_chunk_that_one_stream_rejects_does_not_affect_the_others():
     """
-    Every caller of an engine loses the stream at once. One request's chunk was
-    foreign or met a fault at the entry, and the joined message failed as a whole.
+    Guards against a joined message that fails as a whole, so that all callers of an
+    engine lose their streams. One chunk belonged to another request or caused an error
+    at the entry.
     """
     streams = OpenStreams("sidecar")
-    taken = []
+    received = []
 
-    def broken(offset, texts):
+    def failing_handler(offset, texts):
         raise ValueError(offset)
 
-    def take(offset, texts):
-        taken.append((offset, *texts))
+    def handler(offset, texts):
+        received.append((offset, *texts))
 
     with (
-        streams.open(call_id(1), broken) as one,
-        streams.open(call_id(2), take) as two,
-        streams.open(call_id(3), take) as three,
+        streams.open(call_id(1), failing_handler) as first,
+        streams.open(call_id(2), handler) as second,
+        streams.open(call_id(3), handler) as third,
     ):
-        streams.take(StreamPart(one.number, call_id(1), 0, ["a"]))
-        streams.take(StreamPart(two.number, call_id(1), 0, ["b"]))
-        streams.take(StreamPart(three.number, call_id(3), 0, ["c"]))
+        streams.take(StreamPart(first.number, call_id(1), 0, ["a"]))
+        streams.take(StreamPart(second.number, call_id(1), 0, ["b"]))
+        streams.take(StreamPart(third.number, call_id(3), 0, ["c"]))
         streams.take(StreamPart(99, call_id(4), 0, ["d"]))
-        assert taken == [(0, "c")]
+        assert received == [(0, "c")]
         with pytest.raises(Exception, match="could not be taken"):
-            one.check()
+            first.check()
         with pytest.raises(ReplyMismatchError):
-            two.check()
-        three.check()
+            second.check()
+        third.check()
 
 
 class ManyStreams(FakeSidecar):
-    """Streams on one connection, each chunk after a turn of the loop."""
+    """A sidecar whose streams yield to the event loop after each chunk."""
 
     async def run(self, call, on_chunk):
         for offset in range(call.resume_offset, CHUNKS):
@@ -238,10 +240,10 @@
         return StageReply(call.id, Status.FINISHED, output, load=self.load())
 
 
-def test_joined_streams_arrive_whole_and_in_order_before_their_replies():
+def test_joined_streams_arrive_complete_and_in_order_before_their_replies():
     """
-    Two mechanics read each other's words, or a step is missing. Chunks of many
-    streams share messages, of which several are on the way at once.
+    Guards against chunks that are lost or reach the wrong caller. Chunks of many
+    streams share messages, of which several are in transit at once.
     """
 
     async def scenario():
@@ -250,20 +252,20 @@
             await client.hello("entry-1", 0, ManyStreams("source"))
 
             async def stream(number):
-                found = []
+                received = []
 
-                def take(offset, texts):
-                    assert offset == len(found)
-                    found.extend(texts)
+                def on_chunk(offset, texts):
+                    assert offset == len(received)
+                    received.extend(texts)
 
                 call = StageCall(call_id(number), "a", "echo", b"1", 5.0)
-                await client.run(call, take)
-                return found
+                await client.run(call, on_chunk)
+                return received
 
-            for number, found in enumerate(
+            for number, received in enumerate(
                 await asyncio.gather(*(stream(n) for n in range(40)))
             ):
-                assert found == [f"request-{number}:{o} " for o in range(CHUNKS)]
+                assert received == [f"request-{number}:{o} " for o in range(CHUNKS)]
             client.close()
 
     run_wire(scenario())
--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers as a test says, byte for byte."""
+"""An endpoint whose responses a test scripts byte by byte."""
 
 import asyncio
 import itertools
@@ -15,7 +15,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request as it came."""
+    """A request as it was received; ``closed`` is set when its connection ends."""
 
     method: str
     target: str
@@ -29,24 +29,24 @@
 
 
 class Reset:
-    """Break the connection off with a reset."""
+    """A step that resets the connection."""
 
 
 class Close:
-    """End the connection."""
+    """A step that closes the connection."""
 
 
 class FakeEndpoint:
     """
-    One endpoint; ``script`` returns what to do with a request.
+    An endpoint; ``script`` returns the steps of the response to a request.
 
-    That is a list of bytes to send, seconds to wait, ``Reset`` and ``Close``.
+    A step is bytes to send, a number of seconds to wait, ``Reset`` or ``Close``.
     """
 
     def __init__(self, name, script):
         self.name = name
         self.script = script
-        self.seen = []
+        self.requests = []
         self.address = ""
         self.connections = 0
 
@@ -70,9 +70,9 @@
         try:
             while (request := await read_request(reader)) is not None:
                 current = request
-                self.seen.append(request)
+                self.requests.append(request)
                 for step in self.script(request):
-                    if not await self._do(step, reader, writer, request):
+                    if not await self._perform(step, reader, writer, request):
                         return
         except ConnectionError:
             return
@@ -81,20 +81,20 @@
                 current.closed.set()
             writer.close()
 
-    async def _do(self, step, reader, writer, request):
+    async def _perform(self, step, reader, writer, request):
         if isinstance(step, bytes):
             writer.write(step)
             await writer.drain()
             return True
         if isinstance(step, int | float):
-            gone = asyncio.create_task(reader.read(1))
-            await asyncio.wait({gone}, timeout=step)
-            left = gone.done() and gone.result() == b""
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
-            return not left
+            reading = asyncio.create_task(reader.read(1))
+            await asyncio.wait({reading}, timeout=step)
+            has_disconnected = reading.done() and reading.result() == b""
+            reading.cancel()
+            await asyncio.gather(reading, return_exceptions=True)
+            return not has_disconnected
         if step is Reset:
-            # With no time to linger, closing sends a reset and not the end.
+            # With a linger time of 0, closing the socket sends RST instead of FIN.
             linger = struct.pack("ii", 1, 0)
             connection = writer.get_extra_info("socket")
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -103,7 +103,7 @@
 
 
 async def read_request(reader):
-    """Read one request with a length; ``None`` at the end of the connection."""
+    """Read one request with a length; return ``None`` if the connection has ended."""
     try:
         request_head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -131,11 +131,11 @@
         server.close()
 
 
-# Answers
+# Responses
 
 
 def response_head(request, status="200 OK", *, length=None, signed=True, **extra):
-    """Return the head of an answer; without a length it ends with the connection."""
+    """Return the head of a response; without a length, the connection ends the body."""
     lines = [f"HTTP/1.1 {status}", f"{names.REQUEST_ID}: {request.id}"]
     if signed:
         lines.append(f"{names.SIGNATURE}: {SIGNATURE}")
@@ -146,23 +146,23 @@
 
 
 def complete_response(request, body=b"ok", status="200 OK", **extra):
-    """Return a whole answer."""
+    """Return a complete response."""
     return response_head(request, status, length=len(body), **extra) + body
 
 
 def not_executed_response(request, status="503 Service Unavailable"):
-    """Return an answer that says that nothing was run."""
+    """Return a response that says that the request was not executed."""
     extra = {names.NOT_EXECUTED.replace("-", "_"): "1"}
     return response_head(request, status, length=0, signed=False, **extra)
 
 
 def sse_events(*numbers):
-    """Return whole events with these ids."""
+    """Return complete events with these ids."""
     return b"".join(b"id: %d\ndata: word%d\n\n" % (n, n) for n in numbers)
 
 
 def http_chunk(data):
-    """Return a chunk of a chunked body."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -170,13 +170,13 @@
 
 
 def stream_response_head(request):
-    """Return the head of a chunked stream."""
+    """Return the head of a chunked event stream."""
     extra = {"Transfer_Encoding": "chunked", "Content_Type": "text/event-stream"}
     return response_head(request, **extra)
 
 
 def piece_script():
-    """Return a script that makes every piece."""
+    """Return a script that completes every piece."""
     serials = itertools.count()
 
     def script(request):
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -1,4 +1,4 @@
-"""A gateway process before endpoints and a store that the test holds."""
+"""Gateway processes in front of endpoints and a store run by the test."""
 
 import asyncio
 import json
@@ -39,7 +39,7 @@
 
 
 def configuration(version, *routes, services=(), keys=(KEY,)):
-    """Return the operators' document."""
+    """Return an operators' configuration."""
     return {
         "version": version,
         "routes": list(routes),
@@ -48,13 +48,13 @@
     }
 
 
-def respond_with(word):
-    """Return the script of an endpoint that answers every request with a word."""
-    return lambda request: [complete_response(request, word)]
+def respond_with(body):
+    """Return the script of an endpoint that answers every request with a body."""
+    return lambda request: [complete_response(request, body)]
 
 
 class Gateway:
-    """One gateway process, and a caller of it."""
+    """A gateway process and a client that calls it."""
 
     def __init__(self, process, session):
         self.process = process
@@ -65,7 +65,7 @@
     def url(self):
         return f"http://127.0.0.1:{self.process.ports['port']}"
 
-    def headers(self, request_id="", **others):
+    def headers(self, request_id="", **additional):
         self.serial += 1
         base = {
             "Host": HOST,
@@ -73,10 +73,10 @@
             names.DEADLINE_MS: "4000",
             names.AUTHORIZATION: f"Token {KEY}",
         }
-        return base | others
+        return base | additional
 
     async def call(self, path, *, method="POST", body=b"", **headers):
-        """Return the status, headers and body of an answer."""
+        """Send a request; return the status, headers and body of the response."""
         async with self.session.request(
             method,
             URL(self.url + path, encoded=True),
@@ -86,16 +86,16 @@
             return answer.status, answer.headers, await answer.read()
 
     async def stream(self, path, **headers):
-        """Return the bytes of a stream, and whether it ended whole."""
-        found = b""
+        """Return the status and body of a stream, and whether it is complete."""
+        received = b""
         headers = self.headers(**headers)
         async with self.session.post(self.url + path, headers=headers) as answer:
             try:
                 async for data in answer.content.iter_any():
-                    found += data
+                    received += data
             except aiohttp.ClientError:
-                return answer.status, found, False
-            return answer.status, found, True
+                return answer.status, received, False
+            return answer.status, received, True
 
     async def is_ready(self):
         url = f"http://127.0.0.1:{self.process.ports['ready']}/v1/readyz"
@@ -107,11 +107,11 @@
             await asyncio.sleep(0.02)
 
     async def wait_for_event(self, event, **fields):
-        """Wait for a log line of an event with these fields; return it."""
-        wanted = [f"event={event}", *(f"{k}={v}" for k, v in fields.items())]
+        """Wait for a log line of an event with these fields and return the line."""
+        expected = [f"event={event}", *(f"{k}={v}" for k, v in fields.items())]
         while True:
             for line in self.process.lines:
-                if all(word in line.split() for word in wanted):
+                if all(field in line.split() for field in expected):
                     return line
             await asyncio.sleep(0.02)
 
@@ -126,21 +126,21 @@
 
     async def endpoint(self, name, pool, script, **record):
         """Start an endpoint and register it."""
-        found = await self._stack.enter_async_context(open_endpoint(name, script))
-        self.store.put(f"servers/{name}", found.record(pool, **record))
-        return found
+        endpoint = await self._stack.enter_async_context(open_endpoint(name, script))
+        self.store.put(f"servers/{name}", endpoint.record(pool, **record))
+        return endpoint
 
     def configure(self, version, *routes, **options):
         self.store.put("op/config", configuration(version, *routes, **options))
 
     async def gateway(self, name="gateway", place="cluj-a", store="", **options):
         """Start a gateway and wait until it is ready."""
-        found = await self.start_gateway(name, place, store, **options)
-        await found.wait_until_ready()
-        return found
+        gateway = await self.start_gateway(name, place, store, **options)
+        await gateway.wait_until_ready()
+        return gateway
 
     async def start_gateway(self, name="gateway", place="cluj-a", store="", **options):
-        """Start a gateway."""
+        """Start a gateway without waiting for its readiness."""
         path = self._folder / f"{name}.toml"
         path.write_text(tomli_w.dumps(self.settings(name, place, store) | options))
         process = await start_process(
@@ -151,7 +151,7 @@
         return Gateway(process, await self._stack.enter_async_context(session))
 
     def reserve_address(self):
-        """Reserve an address for as long as the world runs."""
+        """Reserve an address for as long as the cluster runs."""
         return f"{LOOPBACK}:{self._stack.enter_context(reserve_port())}"
 
     def settings(self, name, place, store):
@@ -170,24 +170,24 @@
 
 @asynccontextmanager
 async def open_gateway_cluster(folder):
-    """Yield a world whose processes end with it."""
+    """Yield a cluster; end its processes on exit."""
     async with AsyncExitStack() as stack:
         store = await stack.enter_async_context(open_store_standin())
         yield GatewayCluster(stack, store, folder)
 
 
 def pieces_of(endpoint):
-    """Return the pieces that an endpoint was asked for."""
+    """Return the pieces requested from an endpoint."""
     return [
         entry
-        for seen in endpoint.seen
-        if seen.target.endswith("run")
-        for entry in json.loads(seen.body)["entries"]
+        for request in endpoint.requests
+        if request.target.endswith("run")
+        for entry in json.loads(request.body)["entries"]
     ]
 
 
 def run_with_cluster(tmp_path, test):
-    """Run a test in a world of its own."""
+    """Run a test with a new cluster."""
 
     async def run():
         async with open_gateway_cluster(tmp_path) as cluster:
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers pass through whole and unchanged, or not at all."""
+"""Responses are relayed complete and unchanged, or not at all."""
 
 import asyncio
 
@@ -20,30 +20,30 @@
 from tests.gateway.support import KEY, STREAM, open_gateway_cluster, route
 from tests.support import run_async
 
-# Longer than a test may take, in seconds: an endpoint that works on makes it fail.
+# Longer than a test may take, in seconds: the test fails if its endpoint keeps working.
 ENDLESS_S = 1_000.0
-SHORT = {names.DEADLINE_MS: "500"}
+SHORT_DEADLINE = {names.DEADLINE_MS: "500"}
 
 
 def with_endpoints(tmp_path, *scripts, kind="idempotent", **options):
-    """Return a decorator that runs a test with endpoints of one route."""
+    """Return a decorator that runs a test with one route and its endpoints."""
 
     def decorate(test):
         async def run():
             async with open_gateway_cluster(tmp_path) as cluster:
-                made = [
+                endpoints = [
                     await cluster.endpoint(f"e{n}", "job", script)
                     for n, script in enumerate(scripts)
                 ]
                 cluster.configure(1, route("job", kind, **options))
-                await test(await cluster.gateway(), *made)
+                await test(await cluster.gateway(), *endpoints)
 
         run_async(run())
 
     return decorate
 
 
-def test_a_request_and_its_answer_pass_unchanged(tmp_path):
+def test_a_request_and_its_response_are_relayed_unchanged(tmp_path):
     def script(request):
         return [complete_response(request, b"answer", "201 Created", X_Own="yes")]
 
@@ -55,22 +55,22 @@
         assert (status, body) == (201, b"answer")
         assert headers["X-Own"] == "yes"
         assert headers[names.SIGNATURE] == SIGNATURE
-        (seen,) = endpoint.seen
-        assert (seen.method, seen.target, seen.body) == (
+        (request,) = endpoint.requests
+        assert (request.method, request.target, request.body) == (
             "POST",
             "/job/a%2Fb?q=%41",
             b"question",
         )
-        assert seen.headers["x_mine"] == "1"
-        assert 3500 < int(seen.headers[names.DEADLINE_MS.lower()]) <= 4000
-        assert seen.headers[names.EXPECTED_ID.lower()] == "e0"
-        assert seen.headers[names.ACCOUNT.lower()] == "account"
+        assert request.headers["x_mine"] == "1"
+        assert 3500 < int(request.headers[names.DEADLINE_MS.lower()]) <= 4000
+        assert request.headers[names.EXPECTED_ID.lower()] == "e0"
+        assert request.headers[names.ACCOUNT.lower()] == "account"
 
 
-def test_a_caller_can_set_nothing_that_is_the_systems(tmp_path):
+def test_a_caller_cannot_set_the_systems_headers(tmp_path):
     """
-    A caller passes for another account, skips an engine's queue, or holds its memory.
-    It sent the headers by which the system tells endpoints so.
+    Guards against a caller that impersonates another account, skips an engine's queue
+    or occupies its memory by sending the system's internal headers.
     """
 
     @with_endpoints(tmp_path, lambda request: [complete_response(request)])
@@ -88,22 +88,23 @@
             "forged",
         )
         await gateway.call("/job/", **forged, Connection="X-Once", **{"X-Once": "1"})
-        seen = endpoint.seen[0].headers
-        assert "forged" not in seen.values()
-        assert "x-once" not in seen
-        assert KEY not in str(seen)
+        sent_headers = endpoint.requests[0].headers
+        assert "forged" not in sent_headers.values()
+        assert "x-once" not in sent_headers
+        assert KEY not in str(sent_headers)
 
 
-def test_an_answer_left_on_a_connection_is_given_to_nobody(tmp_path):
+def test_a_stale_response_on_a_connection_is_relayed_to_no_caller(tmp_path):
     """
-    A caller gets the answer of another one. An endpoint answered twice, and its second
-    answer came on the kept connection just where the next one was due.
+    Guards against a caller that gets another caller's response. An endpoint answered
+    twice, and its second response arrived on the kept-alive connection in place of the
+    next one.
     """
 
     def script(request):
-        count = len(first.seen) if (first := script.endpoint) else 0
+        count = len(first.requests) if (first := script.endpoint) else 0
         if count == 2:
-            stale = complete_response(script.endpoint.seen[0], b"stale")
+            stale = complete_response(script.endpoint.requests[0], b"stale")
             return [stale, complete_response(request, b"own")]
         return [complete_response(request, b"own")]
 
@@ -119,13 +120,14 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "short", "unsigned", "nonsense"])
-def test_a_spoiled_answer_is_not_passed_on(tmp_path, fault):
+def test_an_invalid_response_is_not_relayed(tmp_path, fault):
     """
-    A caller gets half an answer as the whole one. The endpoint's connection was reset
-    in an answer without a length, or its bytes were no answer at all.
+    Guards against a caller that takes a truncated response for a complete one. The
+    connection was reset during a response without a length, or the endpoint's bytes
+    were not a valid response.
     """
 
-    def bad(request):
+    def invalid(request):
         return {
             "reset": [response_head(request) + b"half", 0.1, Reset],
             "short": [response_head(request, length=10) + b"half", Close],
@@ -133,24 +135,24 @@
             "nonsense": [b"\x00\x01 no answer\r\n\r\n", Close],
         }[fault]
 
-    @with_endpoints(tmp_path, bad, kind="non_idempotent")
+    @with_endpoints(tmp_path, invalid, kind="non_idempotent")
     async def check(gateway, endpoint):
         status, headers, _ = await gateway.call("/job/")
         assert status == 502
         assert names.SIGNATURE not in headers
-        assert len(endpoint.seen) == 1
+        assert len(endpoint.requests) == 1
 
 
-def test_an_answer_without_a_length_ends_with_its_connection(tmp_path):
+def test_a_response_without_a_length_ends_with_its_connection(tmp_path):
     @with_endpoints(tmp_path, lambda r: [response_head(r) + b"all of it", Close])
     async def check(gateway, _):
         assert (await gateway.call("/job/"))[2] == b"all of it"
 
 
-def test_an_early_answer_to_a_long_request_is_passed_on(tmp_path):
+def test_an_early_response_to_a_long_request_is_relayed(tmp_path):
     """
-    The next request on a connection is read as the rest of a long body. An endpoint
-    answers before it has read that body, and reads on later.
+    Guards against a request that the endpoint reads as the rest of the previous
+    request's body. An endpoint responds before it has read the whole of a long body.
     """
 
     @with_endpoints(tmp_path, lambda r: [complete_response(r, b"early")])
@@ -158,16 +160,17 @@
         for _ in range(3):
             _, _, body = await gateway.call("/job/", body=b"x" * 300_000)
             assert body == b"early"
-        assert {len(seen.body) for seen in endpoint.seen} == {300_000}
+        assert {len(request.body) for request in endpoint.requests} == {300_000}
 
 
-# Repeats
+# Retries
 
 
-def test_what_may_not_run_twice_is_never_sent_again(tmp_path):
+def test_a_non_idempotent_request_is_never_sent_again(tmp_path):
     """
-    Two trucks are sent. The endpoint ran the order and its connection broke before
-    the answer; the HTTP library sends some methods again by itself then.
+    Guards against an order that is executed twice. The endpoint ran the order, and its
+    connection broke before the response; the HTTP library then resends some methods by
+    itself.
     """
 
     @with_endpoints(
@@ -176,36 +179,37 @@
         lambda r: [0.05, Reset],
         kind="non_idempotent",
     )
-    async def check(gateway, one, two):
+    async def check(gateway, first, second):
         for method in ("POST", "PUT", "DELETE", "GET"):
             status, headers, _ = await gateway.call("/job/", method=method)
             assert status == 502
             assert names.RETRY_AFTER not in headers
-        ids = [seen.id for seen in one.seen + two.seen]
+        ids = [request.id for request in first.requests + second.requests]
         assert len(ids) == len(set(ids)) == 4
 
 
-def test_a_kept_connection_that_ends_unheard_is_not_tried_again(tmp_path):
+def test_a_request_on_a_closed_keep_alive_connection_is_not_resent(tmp_path):
     """
-    An order runs twice. The endpoint closed a kept connection as the order came; the
-    HTTP library would have sent it once more on a new one.
+    Guards against an order that is executed twice. The endpoint closed a kept-alive
+    connection as it received the order; the HTTP library would have resent the order on
+    a new connection.
     """
 
     def script(request):
-        first = len(script.seen) == 0
-        script.seen.append(request)
-        return [complete_response(request)] if first else [Close]
+        is_first = len(script.requests) == 0
+        script.requests.append(request)
+        return [complete_response(request)] if is_first else [Close]
 
-    script.seen = []
+    script.requests = []
 
     @with_endpoints(tmp_path, script, kind="non_idempotent")
     async def check(gateway, endpoint):
         assert (await gateway.call("/job/", method="DELETE"))[0] == 200
         assert (await gateway.call("/job/", method="DELETE"))[0] == 502
-        assert len(endpoint.seen) == 2
+        assert len(endpoint.requests) == 2
 
 
-def test_a_refusal_by_an_endpoint_is_tried_elsewhere(tmp_path):
+def test_a_request_refused_by_one_endpoint_is_sent_to_another(tmp_path):
     @with_endpoints(
         tmp_path,
         lambda r: [not_executed_response(r)],
@@ -218,7 +222,7 @@
             assert (await gateway.call("/job/"))[2] == b"done"
 
 
-def test_a_refusal_by_every_endpoint_is_told_truly(tmp_path):
+def test_a_request_refused_by_every_endpoint_gets_503(tmp_path):
     @with_endpoints(
         tmp_path, lambda r: [not_executed_response(r)], kind="non_idempotent"
     )
@@ -228,16 +232,16 @@
         assert float(headers[names.RETRY_AFTER]) > 0
 
 
-def test_an_endpoint_that_is_another_one_by_now_runs_nothing(tmp_path):
+def test_a_request_refused_by_the_wrong_endpoint_is_sent_to_another(tmp_path):
     """
-    A request runs in the wrong pool. The address of an endpoint that has gone was
-    given to another; it says that it is not the one meant.
+    Guards against a request that runs in the wrong pool. The address of a removed
+    endpoint was given to another one, which refuses the request with status 421.
     """
-    other = not_executed_response
+    refused = not_executed_response
 
     @with_endpoints(
         tmp_path,
-        lambda r: [other(r, "421 Misdirected Request")],
+        lambda r: [refused(r, "421 Misdirected Request")],
         lambda r: [complete_response(r, b"done")],
     )
     async def check(gateway, *_):
@@ -245,7 +249,7 @@
             assert (await gateway.call("/job/"))[0] == 200
 
 
-def test_an_endpoints_own_failure_is_passed_on_where_none_does_better(tmp_path):
+def test_an_endpoints_error_response_is_relayed_if_no_attempt_succeeds(tmp_path):
     def failing(request):
         return [complete_response(request, b"broken", "500 Internal Server Error")]
 
@@ -256,39 +260,37 @@
         assert headers[names.SIGNATURE] == SIGNATURE
 
 
-def test_no_more_attempts_than_the_route_allows(tmp_path):
+def test_attempts_are_limited_by_the_route(tmp_path):
     def failing(request):
         return [complete_response(request, b"broken", "500 Internal Server Error")]
 
     @with_endpoints(tmp_path, failing, failing, failing, maxAttempts=2)
-    async def check(gateway, *made):
+    async def check(gateway, *endpoints):
         await gateway.call("/job/", method="GET")
-        assert sum(len(endpoint.seen) for endpoint in made) == 2
+        assert sum(len(endpoint.requests) for endpoint in endpoints) == 2
 
 
-def test_an_endpoint_that_does_not_answer_costs_its_caller_only_its_time(tmp_path):
+def test_an_endpoint_that_does_not_answer_is_abandoned_at_the_deadline(tmp_path):
     @with_endpoints(tmp_path, lambda r: [30.0], kind="non_idempotent", timeoutMs=400)
     async def check(gateway, endpoint):
         started = asyncio.get_running_loop().time()
         assert (await gateway.call("/job/"))[0] == 504
         assert asyncio.get_running_loop().time() - started < 2.0
         async with asyncio.timeout(2.0):
-            await endpoint.seen[0].closed.wait()
+            await endpoint.requests[0].closed.wait()
 
 
-def test_nothing_is_left_at_work_for_a_caller_that_has_gone(tmp_path):
-    """
-    An endpoint works for nobody. Its caller closed the connection seconds ago.
-    """
+def test_a_request_is_cancelled_when_its_caller_disconnects(tmp_path):
+    """Guards against an endpoint that works on after its caller has disconnected."""
 
     @with_endpoints(tmp_path, lambda r: [30.0])
     async def check(gateway, endpoint):
         call = asyncio.create_task(gateway.call("/job/"))
-        while not endpoint.seen:
+        while not endpoint.requests:
             await asyncio.sleep(0.02)
         call.cancel()
         async with asyncio.timeout(2.0):
-            await endpoint.seen[0].closed.wait()
+            await endpoint.requests[0].closed.wait()
 
 
 # Streams
@@ -298,7 +300,7 @@
     return lambda request: [stream_response_head(request), *steps, STREAM_END]
 
 
-def test_a_stream_passes_as_it_comes(tmp_path):
+def test_a_stream_is_relayed_unchanged(tmp_path):
     @with_endpoints(
         tmp_path,
         streaming(http_chunk(sse_events(1)), 0.05, http_chunk(sse_events(2))),
@@ -308,10 +310,10 @@
         assert await gateway.stream("/job/") == (200, sse_events(1, 2), True)
 
 
-def test_a_stream_that_breaks_does_not_look_whole(tmp_path):
+def test_a_truncated_stream_does_not_look_complete(tmp_path):
     """
-    A caller takes half a text for the whole. The engine's connection broke, and the
-    caller's ended as every whole stream does.
+    Guards against a caller that takes a truncated text for a complete one. The engine's
+    connection broke, and the caller's stream was terminated like a complete one.
     """
 
     def script(request):
@@ -327,10 +329,10 @@
         assert (status, body, is_whole) == (200, sse_events(1), False)
 
 
-def test_a_resumable_stream_goes_on_elsewhere_after_its_last_whole_event(tmp_path):
+def test_a_resumable_stream_continues_after_its_last_complete_event(tmp_path):
     """
-    A caller reads one event twice, or a torn one. The engine broke off inside an
-    event, and another one went on.
+    Guards against a duplicate or a truncated event. An engine failed in the middle of
+    an event, and another one resumed the stream.
     """
 
     def script(request):
@@ -344,42 +346,42 @@
         return [stream_response_head(request) + http_chunk(sse_events(3)) + STREAM_END]
 
     @with_endpoints(tmp_path, script, script, resumable=True, **STREAM)
-    async def check(gateway, *made):
+    async def check(gateway, *endpoints):
         assert await gateway.stream("/job/") == (200, sse_events(1, 2, 3), True)
-        seen = [s for endpoint in made for s in endpoint.seen]
-        lasts = {s.headers.get(names.LAST_EVENT_ID.lower()) for s in seen}
-        assert lasts == {None, "2"}
+        requests = [request for endpoint in endpoints for request in endpoint.requests]
+        last_ids = {r.headers.get(names.LAST_EVENT_ID.lower()) for r in requests}
+        assert last_ids == {None, "2"}
 
 
-def test_a_stream_that_may_not_be_resumed_runs_once(tmp_path):
+def test_a_stream_that_is_not_resumable_runs_once(tmp_path):
     def script(request):
         return [stream_response_head(request), 0.05, Reset]
 
     @with_endpoints(tmp_path, script, script, **STREAM)
-    async def check(gateway, *made):
+    async def check(gateway, *endpoints):
         assert (await gateway.stream("/job/"))[0] == 502
-        assert sum(len(endpoint.seen) for endpoint in made) == 1
+        assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
 
 @pytest.mark.parametrize("options", [{}, STREAM])
-def test_an_endpoint_is_let_go_at_the_deadline_of_its_request(tmp_path, options):
-    """Endpoints work on for callers that have been refused, and are full of it."""
+def test_an_endpoints_call_is_cancelled_at_the_deadline(tmp_path, options):
+    """Guards against endpoints occupied with calls whose callers were refused."""
 
     def script(request):
-        begun = (
+        first_steps = (
             [stream_response_head(request), http_chunk(sse_events(1))]
             if options
             else []
         )
-        return [*begun, ENDLESS_S]
+        return [*first_steps, ENDLESS_S]
 
     @with_endpoints(tmp_path, script, **options)
     async def check(gateway, endpoint):
         if options:
-            _, _, is_whole = await gateway.stream("/job/", **SHORT)
+            _, _, is_whole = await gateway.stream("/job/", **SHORT_DEADLINE)
             assert not is_whole
         else:
-            status, _, _ = await gateway.call("/job/", **SHORT)
+            status, _, _ = await gateway.call("/job/", **SHORT_DEADLINE)
             assert status == 504
-        for seen in endpoint.seen:
-            await seen.closed.wait()
+        for request in endpoint.requests:
+            await request.closed.wait()
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -1,4 +1,4 @@
-"""What is in force, where it comes from, and what a gateway says without it."""
+"""How gateways get their configuration and what they answer without one."""
 
 import asyncio
 import json
@@ -10,16 +10,16 @@
 from tests.gateway.support import respond_with, route, run_with_cluster
 
 
-async def until_answered(gateway, path, wanted):
-    """Call until the status is as wanted; bounded by the test's own limit."""
-    while (await gateway.call(path))[0] != wanted:
+async def call_until_status(gateway, path, expected):
+    """Call until the status is as expected; the test's time-out limits the wait."""
+    while (await gateway.call(path))[0] != expected:
         await asyncio.sleep(0.05)
 
 
-def test_a_gateway_that_knows_nothing_yet_does_not_deny(tmp_path):
+def test_a_gateway_without_a_configuration_answers_503(tmp_path):
     """
-    Callers get 404 and never come back. Their gateway had just started and had read
-    no configuration.
+    Guards against callers that get 404 and never retry. Their gateway had just started
+    and had not read a configuration yet.
     """
 
     async def check(cluster):
@@ -60,10 +60,10 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_body_that_does_not_come_is_not_waited_for(tmp_path):
+def test_a_body_that_does_not_arrive_times_out(tmp_path):
     """
-    A process that is told to stop waits to the end of its grace. A caller had sent a
-    head and half of a body, and its request was read for ever.
+    Guards against a stopping process that waits to the end of its grace period. A
+    caller had sent the headers and half of the body, and the read never ended.
     """
 
     async def check(cluster):
@@ -84,7 +84,7 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_change_is_in_force_and_an_older_version_never_comes_back(tmp_path):
+def test_a_newer_version_is_put_in_force_and_an_older_one_is_not(tmp_path):
     async def check(cluster):
         await cluster.endpoint("old", "old", respond_with(b"old"))
         await cluster.endpoint("new", "new", respond_with(b"new"))
@@ -107,15 +107,15 @@
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
         cluster.configure(2, route("job"), keys=("another",))
-        await until_answered(gateway, "/job/", 401)
+        await call_until_status(gateway, "/job/", 401)
 
     run_with_cluster(tmp_path, check)
 
 
-def test_a_watch_that_goes_silent_hides_no_change_for_long(tmp_path):
+def test_a_change_is_noticed_in_time_when_watches_deliver_no_events(tmp_path):
     """
-    A revoked key still works five seconds later. The store's watches heard nothing
-    while it was taken away, and did not end either.
+    Guards against a revoked key that still works five seconds later. The store's
+    watches delivered no events while the key was removed and did not end either.
     """
 
     async def check(cluster):
@@ -127,12 +127,12 @@
         cluster.configure(2, route("job"), keys=("another",))
         cluster.store.forget_history()
         async with asyncio.timeout(5.0):
-            await until_answered(gateway, "/job/", 401)
+            await call_until_status(gateway, "/job/", 401)
 
     run_with_cluster(tmp_path, check)
 
 
-def test_changes_made_while_history_was_lost_are_read_anew(tmp_path):
+def test_changes_that_the_stores_history_has_lost_are_read(tmp_path):
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
@@ -142,62 +142,62 @@
         cluster.configure(2, route("job"), route("more", service="job"))
         cluster.store.forget_history()
         cluster.store.outage.down = False
-        await until_answered(gateway, "/more/", 200)
+        await call_until_status(gateway, "/more/", 200)
 
     run_with_cluster(tmp_path, check)
 
 
-def test_records_of_others_name_no_endpoint(tmp_path):
+def test_malformed_records_are_no_endpoints(tmp_path):
     """
-    Every request fails in one pool. Somebody else writes into the endpoints' part of
-    the store, with fields missing or of another type.
+    Guards against failing requests in a whole pool. Another system writes records with
+    missing fields or fields of another type under the endpoints' prefix.
     """
 
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
-        good = json.loads(cluster.store.items["servers/e"].value)
-        bad = (
-            {**good, "address": 7},
-            {**good, "address": "nowhere"},
-            {**good, "state": "sleepy"},
-            {k: v for k, v in good.items() if k != "service"},
+        valid = json.loads(cluster.store.items["servers/e"].value)
+        invalid = (
+            {**valid, "address": 7},
+            {**valid, "address": "nowhere"},
+            {**valid, "state": "sleepy"},
+            {k: v for k, v in valid.items() if k != "service"},
             [],
         )
-        for number, record in enumerate(bad):
+        for number, record in enumerate(invalid):
             cluster.store.put(f"servers/bad{number}", record)
         cluster.store.put("servers/bytes", b"\xff\x00")
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
         assert (await gateway.call("/job/"))[0] == 200
         malformed = [x for x in gateway.process.lines if "record_malformed" in x]
-        assert len(malformed) == len(bad) + 1
+        assert len(malformed) == len(invalid) + 1
         assert "endpoints=1" in await gateway.wait_for_event("endpoints_read")
 
     run_with_cluster(tmp_path, check)
 
 
-def test_an_endpoint_that_leaves_gets_nothing_new(tmp_path):
+def test_a_draining_endpoint_gets_no_new_requests(tmp_path):
     async def check(cluster):
-        one = await cluster.endpoint("one", "job", respond_with(b"one"))
+        draining = await cluster.endpoint("one", "job", respond_with(b"one"))
         await cluster.endpoint("two", "job", respond_with(b"two"))
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
-        cluster.store.put("servers/one", one.record("job", state="draining"))
+        cluster.store.put("servers/one", draining.record("job", state="draining"))
         await gateway.wait_for_event(
             "endpoint_changed", endpoint="one", takes_calls="false"
         )
-        before = len(one.seen)
+        before = len(draining.requests)
         for _ in range(10):
             assert (await gateway.call("/job/"))[2] == b"two"
-        assert len(one.seen) == before
+        assert len(draining.requests) == before
 
     run_with_cluster(tmp_path, check)
 
 
-def test_endpoints_outlast_an_outage_in_which_their_records_ran_out(tmp_path):
+def test_endpoints_whose_records_expired_in_an_outage_are_kept_for_a_while(tmp_path):
     """
-    Every request is refused after an outage. The records ran out while the store was
-    away, and the endpoints had not written again yet.
+    Guards against refused requests after an outage of the store. The records expired
+    during the outage, and the endpoints had not registered again yet.
     """
 
     async def check(cluster):
@@ -214,15 +214,15 @@
         await asyncio.sleep(2.6)
         assert (await gateway.call("/job/"))[0] == 200
         cluster.store.remove("servers/e")
-        await until_answered(gateway, "/job/", 503)
+        await call_until_status(gateway, "/job/", 503)
 
     run_with_cluster(tmp_path, check)
 
 
-def test_a_gateway_that_the_store_turns_away_hears_of_changes_from_peers(tmp_path):
+def test_a_gateway_that_the_store_rejects_gets_changes_from_peers(tmp_path):
     """
-    A revoked key works at one gateway for as long as the store turns its host away,
-    though every other gateway has known better for seconds.
+    Guards against a revoked key that works at one gateway for as long as the store
+    rejects that gateway's calls, although all peers have the change for seconds.
     """
 
     async def check(cluster):
@@ -230,24 +230,24 @@
         cluster.configure(1, route("job"))
         first = await cluster.gateway("first")
         await first.wait_for_event("registered")
-        async with open_store_standin() as turning_away:
+        async with open_store_standin() as failing_store:
             for key, item in cluster.store.items.items():
-                turning_away.put(key, item.value)
-            second = await cluster.gateway("second", store=turning_away.address)
-            turning_away.outage.down = True
+                failing_store.put(key, item.value)
+            second = await cluster.gateway("second", store=failing_store.address)
+            failing_store.outage.down = True
             await second.wait_for_event("store_lost")
             cluster.configure(2, route("job"), route("more", service="late"))
             cluster.store.put("servers/e", endpoint.record("late"))
             await second.wait_for_event("beliefs_from_peer", configuration=2)
-            await until_answered(second, "/more/", 200)
+            await call_until_status(second, "/more/", 200)
 
     run_with_cluster(tmp_path, check)
 
 
-def test_changes_that_come_together_cost_a_watch_or_two(tmp_path):
+def test_a_burst_of_changes_costs_few_watches(tmp_path):
     """
-    A fleet that restarts asks the store five times as often as a calm one. Each of
-    thirty records that came within a second ended the watch of every gateway.
+    Guards against a fleet that calls the store five times as often while it restarts.
+    Each of thirty records written within a second ended the watch of every gateway.
     """
 
     async def check(cluster):
@@ -270,7 +270,7 @@
     return sum(call.startswith("GET /v1/kv-watch") for call in cluster.store.calls)
 
 
-def test_settings_that_can_not_be_read_leave_the_old_in_force(tmp_path):
+def test_unreadable_settings_leave_the_old_ones_in_force(tmp_path):
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
@@ -283,7 +283,7 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_metrics_tell_what_was_served_and_what_is_believed(tmp_path):
+def test_metrics_report_requests_and_the_gateways_state(tmp_path):
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(4, route("job"))
@@ -305,16 +305,16 @@
 
 
 def unused_port():
-    """Return a port of loopback that the kernel has just given out."""
+    """Return a loopback port that is currently free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return probe.getsockname()[1]
 
 
-def test_a_gateway_that_starts_in_an_outage_learns_from_its_peers(tmp_path):
+def test_a_gateway_that_starts_in_an_outage_gets_its_documents_from_peers(tmp_path):
     """
-    Gateways that are restarted while the store is away answer 503 until it is back,
-    beside others that have all that they need.
+    Guards against gateways that are restarted during an outage of the store and answer
+    503 until it ends, although their peers have the configuration and the records.
     """
 
     async def check(cluster):
@@ -327,9 +327,9 @@
         await old.wait_for_event("peer_connected", peer="first")
         first.process.send(signal.SIGKILL)
         cluster.store.outage.down = True
-        again = await cluster.start_gateway("first", peer_address=address)
+        restarted = await cluster.start_gateway("first", peer_address=address)
         async with asyncio.timeout(8.0):
-            await again.wait_until_ready()
-        assert (await again.call("/job/"))[2] == b"job"
+            await restarted.wait_until_ready()
+        assert (await restarted.call("/job/"))[2] == b"job"
 
     run_with_cluster(tmp_path, check)
--- a/tests/gateway/test_leaving.py
+++ b/tests/gateway/test_leaving.py
@@ -1,4 +1,4 @@
-"""A gateway that is told to stop cuts nothing that it has read."""
+"""A stopping gateway answers all requests that it has received."""
 
 import asyncio
 import signal
@@ -16,10 +16,8 @@
 from tests.gateway.support import STREAM, route, run_with_cluster
 
 
-def test_what_was_read_is_answered_and_the_process_ends(tmp_path):
-    """
-    A stream is cut by a planned restart.
-    """
+def test_open_streams_are_completed_before_the_process_ends(tmp_path):
+    """Guards against streams that are truncated by a planned restart."""
 
     def script(request):
         steps = [step for n in range(1, 9) for step in (http_chunk(sse_events(n)), 0.2)]
@@ -42,10 +40,10 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_requests_are_served_until_the_balancer_has_let_go(tmp_path):
+def test_requests_are_served_until_the_balancer_sends_no_more(tmp_path):
     """
-    Callers see refused connections for two seconds. The balancer still sent them to a
-    process that had closed its listener at once.
+    Guards against two seconds of refused connections. The balancer still sent callers
+    to a process that had closed its listener at once.
     """
 
     async def check(cluster):
@@ -65,10 +63,10 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_what_can_not_be_finished_is_refused_truly_before_the_end(tmp_path):
+def test_unsent_requests_are_refused_before_the_process_ends(tmp_path):
     """
-    A caller's connection ends without a word. Its request still waited for a stage
-    when its process had to end.
+    Guards against a connection that is closed without a response. The request still
+    waited for a stage when the grace period ended.
     """
 
     async def check(cluster):
@@ -91,10 +89,10 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_leaving_gateway_is_no_longer_registered(tmp_path):
+def test_a_stopping_gateway_stays_deregistered(tmp_path):
     """
-    Pieces wait in a process that ends. Its record came back as soon as its lease was
-    ended, since it took that for an outage.
+    Guards against pieces that are requested from a stopping process. It took the end of
+    its own lease for an outage and registered again.
     """
 
     async def check(cluster):
@@ -109,10 +107,10 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_caller_that_keeps_its_connection_does_not_hold_the_process(tmp_path):
+def test_idle_connections_do_not_delay_the_end_of_the_process(tmp_path):
     """
-    A restart takes the whole grace and ends with a kill. A caller kept its connection
-    open, had a request refused on it, and sent nothing more.
+    Guards against a restart that takes the whole grace period and ends with a kill. A
+    caller kept its connection open after a refused request and sent nothing more.
     """
 
     async def check(cluster):
@@ -121,26 +119,26 @@
         gateway = await cluster.gateway(stop_grace=4.0)
         host, port = "127.0.0.1", gateway.process.ports["port"]
         idle = [await asyncio.open_connection(host, port) for _ in range(3)]
-        half = await asyncio.open_connection(host, port)
-        half[1].write(b"POST /job/ HTTP/1.1\r\nHost: api.example\r\n")
-        body = await asyncio.open_connection(host, port)
+        partial_head = await asyncio.open_connection(host, port)
+        partial_head[1].write(b"POST /job/ HTTP/1.1\r\nHost: api.example\r\n")
+        missing_body = await asyncio.open_connection(host, port)
         head = "".join(f"{k}: {v}\r\n" for k, v in gateway.headers().items())
-        body[1].write(
+        missing_body[1].write(
             f"POST /job/ HTTP/1.1\r\n{head}Content-Length: 9\r\n\r\n".encode()
         )
         assert (await gateway.call("/job/"))[0] == 200
         gateway.process.send(signal.SIGTERM)
         async with asyncio.timeout(5.0):
             assert await gateway.process.wait() == 0
-        for _, writer in [*idle, half, body]:
+        for _, writer in [*idle, partial_head, missing_body]:
             writer.close()
 
     run_with_cluster(tmp_path, check)
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGINT])
-def test_a_signal_at_the_very_end_is_no_crash(tmp_path, number):
-    """Guards against a signal that kills a process whose loop has just ended."""
+def test_signals_during_the_exit_are_ignored(tmp_path, number):
+    """Guards against a signal that kills the process after its event loop has ended."""
 
     async def check(cluster):
         await cluster.endpoint("e", "job", lambda r: [complete_response(r)])
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_stages.py
@@ -1,4 +1,4 @@
-"""Pieces of requests through gateways: shared calls, inputs, owners that go."""
+"""Pieces at gateways: batched calls, inputs, and gateways that stop or fail."""
 
 import asyncio
 import json
@@ -29,26 +29,26 @@
     async def run():
         async with open_gateway_cluster(tmp_path) as cluster:
             for pool in ("first", "second"):
-                made = await cluster.endpoint(pool, pool, piece_script())
-                setattr(cluster, pool, made)
+                endpoint = await cluster.endpoint(pool, pool, piece_script())
+                setattr(cluster, pool, endpoint)
             cluster.engine = await cluster.endpoint(
                 "engine", "engine", lambda r: [complete_response(r, TEXT)]
             )
-            made = route("ask", phases=stages, service="engine", **STREAM | options)
-            cluster.configure(1, made, services=SERVICES)
+            ask = route("ask", phases=stages, service="engine", **STREAM | options)
+            cluster.configure(1, ask, services=SERVICES)
             await test(cluster)
 
     run_async(run())
 
 
-def asking(counts):
+def piece_headers(counts):
     return {names.CHUNK_COUNTS: counts, names.CHUNK_KEY: "input"}
 
 
-def test_an_engine_is_given_every_result_of_the_last_stage(tmp_path):
+def test_an_engine_gets_every_result_of_the_last_stage(tmp_path):
     async def check(cluster):
         gateway = await cluster.gateway()
-        status, _, body = await gateway.call("/ask/", **asking("2,3"))
+        status, _, body = await gateway.call("/ask/", **piece_headers("2,3"))
         assert (status, body) == (200, TEXT)
         first, second = pieces_of(cluster.first), pieces_of(cluster.second)
         assert [(p["phase"], p["segment"], p["key"]) for p in first] == [
@@ -58,29 +58,29 @@
         assert len(second) == 3
         assert all(len(piece["inputHandles"]) == 2 for piece in second)
         assert "key" not in second[0]
-        handles = cluster.engine.seen[0].headers[names.INPUT_HANDLES.lower()]
+        handles = cluster.engine.requests[0].headers[names.INPUT_HANDLES.lower()]
         assert len(handles.split(",")) == 3
 
     run_with_cluster(tmp_path, check)
 
 
-def test_requests_share_calls(tmp_path):
+def test_pieces_of_several_requests_share_calls(tmp_path):
     async def check(cluster):
         gateway = await cluster.gateway()
-        calls = [gateway.call("/ask/", **asking("1,1")) for _ in range(8)]
+        calls = [gateway.call("/ask/", **piece_headers("1,1")) for _ in range(8)]
         answers = await asyncio.gather(*calls)
         assert {status for status, _, _ in answers} == {200}
         assert len(pieces_of(cluster.first)) == 8
-        runs = [s for s in cluster.first.seen if s.target.endswith("run")]
+        runs = [s for s in cluster.first.requests if s.target.endswith("run")]
         assert len(runs) <= 4
 
     run_with_cluster(tmp_path, check)
 
 
-def test_results_are_freed_once_read(tmp_path):
+def test_results_are_freed_after_use(tmp_path):
     async def check(cluster):
         gateway = await cluster.gateway()
-        await gateway.call("/ask/", **asking("2,1"))
+        await gateway.call("/ask/", **piece_headers("2,1"))
         async with asyncio.timeout(2.0):
             while len(freed(cluster.first)) + len(freed(cluster.second)) < 3:
                 await asyncio.sleep(0.02)
@@ -89,21 +89,23 @@
 
 
 def freed(endpoint):
-    frees = [s for s in endpoint.seen if s.target.endswith("free")]
+    frees = [s for s in endpoint.requests if s.target.endswith("free")]
     return {handle for s in frees for handle in json.loads(s.body)["handles"]}
 
 
-def test_two_gateways_have_one_caller_for_an_endpoint(tmp_path):
+def test_only_one_of_two_gateways_calls_an_endpoint(tmp_path):
     """
-    An endpoint's queue is full and its callers are refused. Two entries that knew
-    nothing of each other both called it.
+    Guards against an endpoint that refuses calls because its queue is full. Two entries
+    called it without knowing of each other.
     """
 
     async def check(cluster):
         gateways = [await cluster.gateway(name) for name in ("one", "two")]
         for gateway, other in zip(gateways, reversed(gateways), strict=True):
             await gateway.wait_for_event("peer_connected", peer=other.process.name)
-        calls = [g.call("/ask/", **asking("1,1")) for g in gateways for _ in range(4)]
+        calls = [
+            g.call("/ask/", **piece_headers("1,1")) for g in gateways for _ in range(4)
+        ]
         answers = await asyncio.gather(*calls)
         assert {status for status, _, _ in answers} == {200}
         assert cluster.first.connections <= 2
@@ -126,92 +128,96 @@
     return list(gateway.process.lines)
 
 
-def test_a_request_outlives_the_gateway_that_made_its_pieces(tmp_path):
+def test_a_request_succeeds_when_the_gateway_that_makes_its_pieces_fails(tmp_path):
     """
-    A request waits to its deadline. The gateway that had its pieces made was killed.
+    Guards against a request that waits until its deadline. The gateway that was to make
+    its pieces had been killed.
     """
 
     async def check(cluster):
         gateways = [await cluster.gateway(name) for name in ("one", "two")]
         for gateway, other in zip(gateways, reversed(gateways), strict=True):
             await gateway.wait_for_event("peer_connected", peer=other.process.name)
-        await asyncio.gather(*(g.call("/ask/", **asking("1,1")) for g in gateways))
+        await asyncio.gather(
+            *(g.call("/ask/", **piece_headers("1,1")) for g in gateways)
+        )
         for gateway in gateways:
             other = next(g for g in gateways if g is not gateway)
             if any("endpoint=first" in x for x in lines_of(other)):
                 break
         other.process.send(signal.SIGKILL)
         async with asyncio.timeout(3.0):
-            assert (await gateway.call("/ask/", **asking("1,1")))[0] == 200
+            assert (await gateway.call("/ask/", **piece_headers("1,1")))[0] == 200
 
     run_with_cluster(tmp_path, check)
 
 
-def test_a_gateway_that_is_back_makes_pieces_at_once(tmp_path):
+def test_a_restarted_gateway_makes_pieces_at_once(tmp_path):
     """
-    All gateways start anew. One asks another that is not up yet, leaves it alone and
-    calls its endpoints itself; the other is up a moment later and calls them as well.
+    Guards against two gateways that call the same endpoints after a restart of all. One
+    requests pieces from a peer that is still starting, takes it for failed and calls
+    the endpoints itself; the peer is ready a moment later and calls them as well.
     """
 
     async def check(cluster):
         asker, owner = await two_gateways(cluster)
         owner.process.send(signal.SIGKILL)
         await owner.process.wait()
-        assert (await asker.call("/ask/", **asking("1,1")))[0] == 200
+        assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
         await asker.wait_for_event("peer_lost", peer=owner.process.name)
-        again = await cluster.gateway(owner.process.name)
+        restarted = await cluster.gateway(owner.process.name)
         await asker.wait_for_event("peer_back", peer=owner.process.name)
-        assert (await asker.call("/ask/", **asking("1,1")))[0] == 200
-        assert [x for x in lines_of(again) if "endpoint=first" in x]
+        assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
+        assert [x for x in lines_of(restarted) if "endpoint=first" in x]
 
     run_with_cluster(tmp_path, check)
 
 
 def test_a_lost_result_is_made_again_for_a_request_that_did_not_run(tmp_path):
     """
-    A request is refused though nothing ran. The engine found a result gone whose
-    maker had restarted.
+    Guards against a refusal of a request that has not run. The engine could not read an
+    input, because the endpoint that held the result had restarted.
     """
 
     async def check(cluster):
         gateway = await cluster.gateway()
-        gone = f"HTTP/1.1 409 Conflict\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0"
-        answers = iter([[f"{gone}\r\n\r\n".encode()]])
+        head = f"HTTP/1.1 409 Conflict\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0"
+        answers = iter([[f"{head}\r\n\r\n".encode()]])
         cluster.engine.script = lambda r: next(answers, [complete_response(r, TEXT)])
-        assert (await gateway.call("/ask/", **asking("1,1")))[0] == 200
+        assert (await gateway.call("/ask/", **piece_headers("1,1")))[0] == 200
         assert len(pieces_of(cluster.second)) == 2
 
     run_with_cluster(tmp_path, check)
 
 
 async def two_gateways(cluster):
-    """Return two connected gateways: one that has pieces made, and their owner."""
+    """Return two connected gateways; the second one calls endpoint ``first``."""
     gateways = [await cluster.gateway(name) for name in ("one", "two")]
     for gateway, other in zip(gateways, reversed(gateways), strict=True):
         await gateway.wait_for_event("peer_connected", peer=other.process.name)
-    await asyncio.gather(*(g.call("/ask/", **asking("1,1")) for g in gateways))
-    one, two = gateways
-    is_two = any("endpoint=first" in line for line in lines_of(two))
-    return (one, two) if is_two else (two, one)
+    await asyncio.gather(*(g.call("/ask/", **piece_headers("1,1")) for g in gateways))
+    first, second = gateways
+    second_is_owner = any("endpoint=first" in line for line in lines_of(second))
+    return (first, second) if second_is_owner else (second, first)
 
 
 def slow_pieces(seconds):
-    """Return a script that takes its time for a piece."""
+    """Return a script that completes pieces after a delay."""
     make = piece_script()
     return lambda request: [seconds, *make(request)]
 
 
-def test_a_stopping_gateway_is_told_of_the_pieces_that_it_asked_for(tmp_path):
+def test_a_stopping_gateway_gets_the_results_of_its_requested_pieces(tmp_path):
     """
-    Every request of a gateway that is told to stop is refused after seconds of work
-    for it. It takes its record away first; its peers forgot its address with it, and
-    the owner of its pieces could tell it of none.
+    Guards against refused requests of a stopping gateway after seconds of work. The
+    gateway removes its record first. Its peers dropped its address with the record, and
+    the owner of its pieces could not report their results.
     """
 
     async def check(cluster):
         asker, owner = await two_gateways(cluster)
         cluster.first.script = slow_pieces(0.3)
-        call = asyncio.create_task(asker.call("/ask/", **asking("1,1")))
+        call = asyncio.create_task(asker.call("/ask/", **piece_headers("1,1")))
         await asker.wait_for_event("request_received", pieces="1,1")
         async with asyncio.timeout(2.0):
             while len(pieces_of(cluster.first)) < 3:
@@ -226,10 +232,11 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_gateway_whose_lease_has_run_out_keeps_its_part(tmp_path):
+def test_a_gateway_whose_lease_has_expired_keeps_its_endpoints(tmp_path):
     """
-    Two gateways call one endpoint, and each fills its queue for the other. The store
-    had turned one away for longer than its lease, and the others took it for gone.
+    Guards against two gateways that call the same endpoint and fill its queue. The
+    store had rejected one of them for longer than its lease, and the other took it for
+    stopped.
     """
 
     async def check(cluster):
@@ -237,7 +244,7 @@
         cluster.store.remove(f"entries/{owner.process.name}")
         await asker.wait_for_event("peer_doubted", peer=owner.process.name)
         for _ in range(8):
-            assert (await asker.call("/ask/", **asking("1,1")))[0] == 200
+            assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
             await asyncio.sleep(0.5)
         assert not [x for x in lines_of(asker) if "endpoint=first" in x]
 
--- a/tests/gateway/test_thin_links.py
+++ b/tests/gateway/test_thin_links.py
@@ -1,4 +1,4 @@
-"""What a host hears in time whose link is thin for what is sent to it."""
+"""Changes that reach a gateway in time although its link is slow."""
 
 import asyncio
 import random
@@ -11,25 +11,26 @@
 from amaranthtally.standins.store import open_store_standin
 from tests.gateway.support import configuration, respond_with, route, run_with_cluster
 
-# In which a change is to be in force, and an endpoint that leaves to be left alone.
+# Time within which a change must be in force and a draining endpoint unused, in
+# seconds.
 IN_FORCE_S = 4.0
-# For how long the thin link is full with one answer that holds the configuration.
+# How long one response with the configuration saturates the slow link, in seconds.
 TRANSFER_S = 2.2
 ROUTES = 1400
 
 
-def large(version, *routes):
-    """Return a configuration of some hundred kilobytes, with little that repeats."""
-    draw = random.Random(1)
-    names = [f"{draw.getrandbits(512):0128x}" for _ in range(ROUTES)]
-    others = [route(name, service="job") for name in names]
-    return configuration(version, *routes, *others)
+def large_configuration(version, *routes):
+    """Return a configuration of some hundred kilobytes that compresses badly."""
+    generator = random.Random(1)
+    names = [f"{generator.getrandbits(512):0128x}" for _ in range(ROUTES)]
+    filler = [route(name, service="job") for name in names]
+    return configuration(version, *routes, *filler)
 
 
 def link_for(document):
-    """Return a link that an answer with this document fills for ``TRANSFER_S``."""
-    in_base64 = len(msgspec.json.encode(document)) * 4 / 3
-    return ThinLink(in_base64 / TRANSFER_S)
+    """Return a link that a response with this document saturates for ``TRANSFER_S``."""
+    base64_size = len(msgspec.json.encode(document)) * 4 / 3
+    return ThinLink(base64_size / TRANSFER_S)
 
 
 async def open_relay(stack, target, link):
@@ -38,18 +39,18 @@
     return relay
 
 
-def test_a_large_configuration_over_a_thin_link_is_in_force_in_time(tmp_path):
-    """Guards against reads that are cut while their bytes come, and begun anew."""
+def test_a_large_configuration_over_a_slow_link_is_in_force_in_time(tmp_path):
+    """Guards against time-outs that cut off a read in progress and restart it."""
 
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
-        document = large(2, route("job"), route("new", service="job"))
+        document = large_configuration(2, route("job"), route("new", service="job"))
         async with AsyncExitStack() as stack:
             link = link_for(document)
             relay = await open_relay(stack, cluster.store.address, link)
             gateway = await cluster.gateway(store=relay.address)
-            # The watch that hears of the change has waited for most of its time.
+            # When the change is made, the watch has used up most of its time-out.
             await asyncio.sleep(0.9)
             cluster.store.put("op/config", document)
             async with asyncio.timeout(IN_FORCE_S):
@@ -59,33 +60,33 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_an_endpoint_that_leaves_behind_a_large_configuration_is_left_in_time(tmp_path):
-    """Guards against changes of endpoints that wait behind reads that never end."""
+def test_a_draining_endpoint_is_unused_in_time_after_a_large_configuration(tmp_path):
+    """Guards against endpoint changes that are delayed by reads that never end."""
 
     async def check(cluster):
-        one = await cluster.endpoint("one", "job", respond_with(b"one"))
+        draining = await cluster.endpoint("one", "job", respond_with(b"one"))
         await cluster.endpoint("two", "job", respond_with(b"two"))
         cluster.configure(1, route("job"))
-        document = large(2, route("job"))
+        document = large_configuration(2, route("job"))
         async with AsyncExitStack() as stack:
             link = link_for(document)
             relay = await open_relay(stack, cluster.store.address, link)
             gateway = await cluster.gateway(store=relay.address)
             cluster.store.put("op/config", document)
             await asyncio.sleep(0.2)
-            cluster.store.put("servers/one", one.record("job", state="draining"))
+            cluster.store.put("servers/one", draining.record("job", state="draining"))
             async with asyncio.timeout(IN_FORCE_S):
                 await gateway.wait_for_event("endpoint_changed", endpoint="one")
-            before = len(one.seen)
+            before = len(draining.requests)
             for _ in range(10):
                 assert (await gateway.call("/job/"))[2] == b"two"
-            assert len(one.seen) == before
+            assert len(draining.requests) == before
 
     run_with_cluster(tmp_path, check)
 
 
-def test_a_large_configuration_is_read_from_peers_over_a_thin_link(tmp_path):
-    """Guards against copies from peers that are cut as a whole, and begun anew."""
+def test_a_large_configuration_is_read_from_peers_over_a_slow_link(tmp_path):
+    """Guards against fetches from peers that time out and start over."""
 
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
@@ -93,23 +94,23 @@
         first = await cluster.gateway("first")
         await first.wait_for_event("registered")
         async with AsyncExitStack() as stack:
-            turning_away = await stack.enter_async_context(open_store_standin())
+            failing_store = await stack.enter_async_context(open_store_standin())
             for key, item in cluster.store.items.items():
-                turning_away.put(key, item.value)
-            document = large(2, route("job"), route("new", service="job"))
+                failing_store.put(key, item.value)
+            document = large_configuration(2, route("job"), route("new", service="job"))
             link = ThinLink(len(zlib.compress(msgspec.json.encode(document))) / 1.6)
             name = "entries/first"
             record = msgspec.json.decode(cluster.store.items[name].value)
             relay = await open_relay(stack, record["address"], link)
-            turning_away.put(name, {**record, "address": relay.address})
-            second = await cluster.gateway("second", store=turning_away.address)
-            turning_away.outage.down = True
+            failing_store.put(name, {**record, "address": relay.address})
+            second = await cluster.gateway("second", store=failing_store.address)
+            failing_store.outage.down = True
             await second.wait_for_event("store_lost")
             cluster.store.put("op/config", document)
             await first.wait_for_event("configuration_in_force", version=2)
             async with asyncio.timeout(IN_FORCE_S):
                 await second.wait_for_event("configuration_in_force", version=2)
-            # Nothing else over that link was held up for longer than a call may take.
+            # No other call over the link timed out.
             lost = [line for line in second.process.lines if "peer_lost" in line]
             assert not lost
             assert (await second.call("/new/"))[2] == b"job"
@@ -117,27 +118,27 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_store_that_sends_is_not_raced_by_peers(tmp_path):
-    """Guards against copies from peers that fill the link that the store's needs."""
+def test_peers_do_not_send_what_the_store_is_sending(tmp_path):
+    """Guards against fetches from peers that compete with the store for the link."""
 
     async def check(cluster):
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
-        document = large(2, route("job"))
+        document = large_configuration(2, route("job"))
         others = [await cluster.gateway(f"other-{n}") for n in range(4)]
         for other in others:
             await other.wait_for_event("registered")
         async with AsyncExitStack() as stack:
             link = link_for(document)
             relay = await open_relay(stack, cluster.store.address, link)
-            thin = await cluster.gateway("thin", store=relay.address)
-            await thin.wait_for_event("registered")
+            gateway = await cluster.gateway("thin", store=relay.address)
+            await gateway.wait_for_event("registered")
             cluster.store.put("op/config", document)
-            await thin.wait_for_event("configuration_in_force", version=2)
+            await gateway.wait_for_event("configuration_in_force", version=2)
             await asyncio.sleep(2.5)
-            copies = [x for x in thin.process.lines if "beliefs_from_peer" in x]
-            assert not copies
-            # Two whole answers: one for the first read, which holds little, and one.
+            fetches = [x for x in gateway.process.lines if "beliefs_from_peer" in x]
+            assert not fetches
+            # The link carried the first, small listing and one large response.
             assert link.carried < 1.5 * TRANSFER_S * link.bytes_per_s
 
     run_with_cluster(tmp_path, check)
--- a/tests/gateway/test_unread_output.py
+++ b/tests/gateway/test_unread_output.py
@@ -1,4 +1,4 @@
-"""A gateway whose output nobody reads."""
+"""A gateway whose log output is not read."""
 
 import asyncio
 
@@ -6,28 +6,28 @@
 from tests.gateway.fake_endpoint import complete_response
 from tests.gateway.support import route, run_with_cluster
 
-AT_ONCE = 8
+CONCURRENCY = 8
 REQUESTS = 3000
-# Two thousand lines of 300 bytes wait at most; the rest is the allocator's.
-MOST_GROWTH_MB = 4.0
+# At most 2,000 lines of 300 bytes are queued; the rest is for the allocator.
+MAX_GROWTH_MB = 4.0
 
 
 async def serve(gateway, requests):
-    """Send requests a few at a time; return the statuses."""
+    """Send requests, a few concurrently; return the statuses."""
     numbers = iter(range(requests))
 
-    async def work():
+    async def worker():
         return [(await gateway.call("/job/"))[0] for _ in numbers]
 
-    found = await asyncio.gather(*(work() for _ in range(AT_ONCE)))
-    return [status for statuses in found for status in statuses]
+    results = await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
+    return [status for statuses in results for status in statuses]
 
 
-def test_a_reader_that_stops_costs_no_request(tmp_path):
+def test_unread_log_output_fails_no_request(tmp_path):
     """
-    All requests of a gateway hang. Whoever collects its output had stopped reading,
-    the pipe was full, and the next line held up the loop; or lines were kept without
-    a bound until the process was killed for its memory.
+    Guards against requests that hang, or a process that runs out of memory, when the
+    log collector stops reading. The pipe was full and the next log line blocked the
+    event loop; or unwritten lines were queued without a limit.
     """
 
     async def check(cluster):
@@ -40,7 +40,7 @@
         gateway.process.stop_reading()
         before = memory_mb(gateway.process.pid)
         assert set(await serve(gateway, REQUESTS)) == {200}
-        assert memory_mb(gateway.process.pid) - before < MOST_GROWTH_MB
+        assert memory_mb(gateway.process.pid) - before < MAX_GROWTH_MB
         gateway.process.go_on_reading()
         assert "count=" in await gateway.wait_for_event("log_lines_lost")
 
--- a/tests/platform/test_slow_answers.py
+++ b/tests/platform/test_slow_answers.py
@@ -1,4 +1,4 @@
-"""Answers that come slowly over thin links, and answers that stop."""
+"""Responses that arrive slowly over slow links, and responses that stall."""
 
 import asyncio
 import base64
@@ -12,17 +12,18 @@
 from amaranthtally.platform import HostList, open_key_value, open_store
 from tests.support import run_async
 
-# How long an answer comes, in parts; a client's bound on silence is shorter.
+# The duration of a response sent in parts, in seconds. It is longer than a client's
+# read time-out, but the pauses between the parts are shorter.
 ANSWER_S = 3.0
 PARTS = 20
-# By when a client has given an answer up that has stopped, in seconds.
-GIVEN_UP_S = 2.5
+# Time within which a client must abandon a stalled response, in seconds.
+ABANDON_LIMIT_S = 2.5
 VALUE = base64.b64encode(b"v" * 30_000).decode()
 
 
 @asynccontextmanager
 async def open_slow_server(body, stops_after=PARTS):
-    """Serve one body in parts; after ``stops_after`` of them it is silent."""
+    """Serve one body in parts; stall after ``stops_after`` of them."""
     raw = json.dumps(body).encode()
     size = len(raw) // PARTS + 1
 
@@ -58,70 +59,70 @@
     return [{"Key": "settings/a", "Value": VALUE, "ModifyIndex": 3}]
 
 
-def test_the_store_is_read_however_thin_the_link():
-    """Guards against reads that are cut while their bytes come."""
+def test_the_store_is_read_over_a_slow_link():
+    """Guards against time-outs that cut off a response while its data is arriving."""
 
     async def check():
         async with (
             open_slow_server(store_page()) as address,
             open_store(address, lambda transfer: None) as client,
         ):
-            found = await client.list("")
-            assert isinstance(found, Ok)
-            assert len(found.ok_value.items) == 1
+            answer = await client.list("")
+            assert isinstance(answer, Ok)
+            assert len(answer.ok_value.items) == 1
 
     run_async(check())
 
 
-def test_a_store_that_stops_in_the_middle_is_given_up():
-    """Guards against reads without an end over a way that has gone silent."""
+def test_a_stalled_response_of_the_store_is_abandoned():
+    """Guards against reads that never end over a broken network path."""
 
     async def check():
-        ended = []
+        transfers = []
         async with (
             open_slow_server(store_page(), stops_after=2) as address,
-            open_store(address, ended.append) as client,
+            open_store(address, transfers.append) as client,
         ):
-            async with asyncio.timeout(GIVEN_UP_S):
+            async with asyncio.timeout(ABANDON_LIMIT_S):
                 assert isinstance(await client.list(""), Err)
             assert not client.is_receiving
-        assert ended[0].outcome != "ended"
-        assert ended[0].received_bytes > 0
+        assert transfers[0].outcome != "ended"
+        assert transfers[0].received_bytes > 0
 
     run_async(check())
 
 
-def test_the_key_value_service_is_read_however_thin_the_link():
-    """Guards against reads of all settings that are cut while their bytes come."""
+def test_the_key_value_service_is_read_over_a_slow_link():
+    """Guards against time-outs that cut off a read of all settings in progress."""
 
     async def check():
         async with (
             open_slow_server(rows()) as address,
             open_key_value(f"http://{address}", "test") as client,
         ):
-            found = await client.list("settings/")
-            assert isinstance(found, Ok)
-            assert len(found.ok_value.entries) == 1
+            answer = await client.list("settings/")
+            assert isinstance(answer, Ok)
+            assert len(answer.ok_value.entries) == 1
 
     run_async(check())
 
 
-def test_a_key_value_service_that_stops_in_the_middle_is_given_up():
-    """Guards against reads without an end over a way that has gone silent."""
+def test_a_stalled_response_of_the_key_value_service_is_abandoned():
+    """Guards against reads that never end over a broken network path."""
 
     async def check():
         async with (
             open_slow_server(rows(), stops_after=2) as address,
             open_key_value(f"http://{address}", "test") as client,
-            asyncio.timeout(GIVEN_UP_S),
+            asyncio.timeout(ABANDON_LIMIT_S),
         ):
             assert isinstance(await client.list("settings/"), Err)
 
     run_async(check())
 
 
-def test_the_list_of_hosts_is_read_however_thin_the_link():
-    """Guards against lists of many hosts that are cut while their bytes come."""
+def test_the_list_of_hosts_is_read_over_a_slow_link():
+    """Guards against time-outs that cut off a long list while its data is arriving."""
 
     async def check():
         hosts = [{"host": f"host-{n}", "state": "leaving"} for n in range(1_000)]
@@ -129,8 +130,8 @@
             open_slow_server(hosts) as address,
             aiohttp.ClientSession() as session,
         ):
-            found = await HostList(session, f"http://{address}").read_leaving()
-        assert isinstance(found, Ok)
-        assert len(found.ok_value) == 1_000
+            answer = await HostList(session, f"http://{address}").read_leaving()
+        assert isinstance(answer, Ok)
+        assert len(answer.ok_value) == 1_000
 
     run_async(check())
--- a/tests/unit/test_configuration_tracker.py
+++ b/tests/unit/test_configuration_tracker.py
@@ -1,4 +1,4 @@
-"""What a gateway does with a configuration that it reads."""
+"""Tracking of the configuration that a gateway has in force."""
 
 import json
 
@@ -12,39 +12,39 @@
     return json.dumps(configuration(version, route("work"))).encode()
 
 
-def test_a_document_that_is_in_force_is_not_read_again(monkeypatch):
-    """Guards against loops that stand still for a large document read anew."""
-    read = []
-    real = configuration_tracker.read_configuration
+def test_the_document_in_force_is_not_decoded_again(monkeypatch):
+    """Guards against an event loop that is blocked by decoding the same document."""
+    decoded = []
+    original = configuration_tracker.read_configuration
 
     def counting(value):
-        read.append(value)
-        return real(value)
+        decoded.append(value)
+        return original(value)
 
     monkeypatch.setattr(configuration_tracker, "read_configuration", counting)
 
     async def check():
         tables = []
-        follower = ConfigurationTracker(tables.append)
+        tracker = ConfigurationTracker(tables.append)
         for _ in range(5):
-            follower.apply(document(3), "store")
-        assert len(tables) == len(read) == 1
+            tracker.apply(document(3), "store")
+        assert len(tables) == len(decoded) == 1
 
     run_async(check())
 
 
-def test_a_gateway_is_behind_from_the_first_word_of_a_newer_version():
+def test_a_gateway_is_behind_since_the_first_newer_version_became_known():
     async def check():
-        follower = ConfigurationTracker(lambda table: None)
-        follower.apply(document(3), "store")
-        assert follower.behind_s == 0.0
-        follower.note_version(5, "a-peer")
-        first = follower.behind_s
-        follower.note_version(7, "a-peer")
-        follower.apply(document(5), "store")
-        assert follower.newest_known == 7
-        assert follower.behind_s >= first
-        follower.apply(document(7), "store")
-        assert follower.behind_s == 0.0
+        tracker = ConfigurationTracker(lambda table: None)
+        tracker.apply(document(3), "store")
+        assert tracker.behind_s == 0.0
+        tracker.note_version(5, "a-peer")
+        first_s = tracker.behind_s
+        tracker.note_version(7, "a-peer")
+        tracker.apply(document(5), "store")
+        assert tracker.newest_known == 7
+        assert tracker.behind_s >= first_s
+        tracker.apply(document(7), "store")
+        assert tracker.behind_s == 0.0
 
     run_async(check())
--- a/tests/unit/test_document_fetcher.py
+++ b/tests/unit/test_document_fetcher.py
@@ -1,4 +1,4 @@
-"""Copies from peers: how many at once, and whether the store goes first."""
+"""Fetching of documents from peers: concurrency, and precedence of the store."""
 
 import asyncio
 import random
@@ -23,20 +23,20 @@
 class FakeHolder:
     def __init__(self):
         self.versions = Versions(configuration=4, records=40)
-        self.taken = []
+        self.applied = []
 
     def note_peer_versions(self, peer, versions):
         pass
 
     def apply_document(self, peer, document, version, content):
-        self.taken.append((peer, document, version, content))
+        self.applied.append((peer, document, version, content))
         is_configuration = document is Document.CONFIGURATION
         changed = {"configuration" if is_configuration else "records": version}
         self.versions = self.versions._replace(**changed)
 
 
 class FakeConnections:
-    """Peers that all have the same documents; some fail after a few parts."""
+    """Peers that all hold the same documents; some fail after a few parts."""
 
     def __init__(self, fails_after=None):
         self.snapshots = {document: DocumentSnapshots() for document in Document}
@@ -44,8 +44,8 @@
         self.snapshots[Document.RECORDS].put(50, CONTENT)
         self.fails_after = fails_after or {}
         self.reads = []
-        self.at_once = 0
-        self.most_at_once = 0
+        self.concurrent = 0
+        self.max_concurrent = 0
 
     async def read_part(self, peer, request):
         self.reads.append((peer, request))
@@ -53,63 +53,65 @@
             peer, 99
         ):
             raise PeerLostError(peer, "no answer in time")
-        self.at_once += 1
-        self.most_at_once = max(self.most_at_once, self.at_once)
+        self.concurrent += 1
+        self.max_concurrent = max(self.max_concurrent, self.concurrent)
         await asyncio.sleep(0.001)
-        self.at_once -= 1
+        self.concurrent -= 1
         return self.snapshots[request.document].part(request)
 
 
-def test_one_copy_runs_at_a_time_however_many_peers_have_news():
-    """Guards against copies from many peers that fill a thin link together."""
+def test_one_fetch_runs_at_a_time_however_many_peers_have_newer_documents():
+    """Guards against concurrent fetches from many peers that saturate a slow link."""
 
     async def check():
         connections, holder = FakeConnections(), FakeHolder()
-        copy = DocumentFetcher(connections, holder, FakeStore())
-        await asyncio.gather(*(copy.fetch_newer(f"peer-{n}", NEWER) for n in range(8)))
-        assert connections.most_at_once == 1
+        fetcher = DocumentFetcher(connections, holder, FakeStore())
+        await asyncio.gather(
+            *(fetcher.fetch_newer(f"peer-{n}", NEWER) for n in range(8))
+        )
+        assert connections.max_concurrent == 1
         assert len({peer for peer, _ in connections.reads}) == 1
-        assert [taken[1:] for taken in holder.taken] == [
+        assert [call[1:] for call in holder.applied] == [
             (Document.CONFIGURATION, 5, CONTENT)
         ]
 
     run_async(check())
 
 
-def test_what_has_come_is_kept_when_its_peer_fails():
-    """Guards against copies that are begun anew whenever a peer fails."""
+def test_received_parts_are_kept_when_the_peer_fails():
+    """Guards against fetches that start over whenever a peer fails."""
 
     async def check():
         connections, holder = FakeConnections({"first": 3}), FakeHolder()
-        copy = DocumentFetcher(connections, holder, FakeStore(is_connected=False))
-        await copy.fetch_newer("first", NEWER._replace(records=40))
-        assert not holder.taken
+        fetcher = DocumentFetcher(connections, holder, FakeStore(is_connected=False))
+        await fetcher.fetch_newer("first", NEWER._replace(records=40))
+        assert not holder.applied
         before = len(connections.reads)
-        await copy.fetch_newer("second", NEWER._replace(records=40))
+        await fetcher.fetch_newer("second", NEWER._replace(records=40))
         assert connections.reads[before][1].offset > 0
-        assert holder.taken[0][3] == CONTENT
+        assert holder.applied[0][3] == CONTENT
 
     run_async(check())
 
 
-def test_nothing_is_copied_that_the_store_is_sending():
-    """Guards against copies that fill the link which the store's answer needs."""
+def test_a_document_that_the_store_is_sending_is_not_fetched_from_a_peer():
+    """Guards against fetches that compete with the store's response for the link."""
 
     async def check():
         connections, holder, store = FakeConnections(), FakeHolder(), FakeStore()
         store.is_receiving = True
-        copy = DocumentFetcher(connections, holder, store)
-        bringing = asyncio.create_task(copy.fetch_newer("peer", NEWER))
+        fetcher = DocumentFetcher(connections, holder, store)
+        fetching = asyncio.create_task(fetcher.fetch_newer("peer", NEWER))
         await asyncio.sleep(0.6)
         holder.versions = Versions(configuration=5, records=50)
-        await bringing
+        await fetching
         assert not connections.reads
 
     run_async(check())
 
 
-def test_a_store_that_sends_nothing_is_not_waited_for():
-    """Guards against a watch that has gone silent and hides a newer configuration."""
+def test_a_document_is_fetched_from_a_peer_if_the_store_sends_nothing():
+    """Guards against a watch without events that hides a newer configuration."""
 
     async def check():
         connections, holder = FakeConnections(), FakeHolder()
@@ -117,22 +119,22 @@
             await DocumentFetcher(connections, holder, FakeStore()).fetch_newer(
                 "peer", NEWER
             )
-        assert [taken[1] for taken in holder.taken] == [Document.CONFIGURATION]
+        assert [call[1] for call in holder.applied] == [Document.CONFIGURATION]
 
     run_async(check())
 
 
-def test_records_are_copied_only_while_the_store_does_not_answer():
+def test_records_are_fetched_only_while_the_store_does_not_answer():
     async def check():
         connections, holder = FakeConnections(), FakeHolder()
-        copy = DocumentFetcher(connections, holder, FakeStore(is_connected=False))
-        await copy.fetch_newer("peer", NEWER)
-        assert [taken[1] for taken in holder.taken] == list(Document)
+        fetcher = DocumentFetcher(connections, holder, FakeStore(is_connected=False))
+        await fetcher.fetch_newer("peer", NEWER)
+        assert [call[1] for call in holder.applied] == list(Document)
 
     run_async(check())
 
 
-def test_a_peer_that_has_nothing_ends_the_copy():
+def test_a_peer_without_documents_ends_the_fetch():
     async def check():
         connections, holder = FakeConnections(), FakeHolder()
         connections.snapshots[Document.CONFIGURATION] = DocumentSnapshots()
@@ -140,48 +142,48 @@
             await DocumentFetcher(connections, holder, FakeStore()).fetch_newer(
                 "peer", NEWER
             )
-        assert not holder.taken
+        assert not holder.applied
 
     run_async(check())
 
 
-def test_a_store_that_trickles_is_not_waited_for_without_end():
-    """Guards against an answer that never ends and hides a newer configuration."""
+def test_the_wait_for_a_store_that_keeps_sending_is_limited():
+    """Guards against a response that never ends and hides a newer configuration."""
 
     async def check():
         connections, holder, store = FakeConnections(), FakeHolder(), FakeStore()
         store.is_receiving = True
         async with asyncio.timeout(4.0):
             await DocumentFetcher(connections, holder, store).fetch_newer("peer", NEWER)
-        assert [taken[1] for taken in holder.taken] == [Document.CONFIGURATION]
+        assert [call[1] for call in holder.applied] == [Document.CONFIGURATION]
 
     run_async(check())
 
 
-def test_greetings_go_on_while_something_is_copied():
-    """Guards against a gateway that falls silent for as long as it copies."""
+def test_gossip_continues_during_a_fetch():
+    """Guards against a gateway that stops its gossip rounds while it fetches."""
 
     class FakeGossipConnections:
-        greeted = 0
+        exchanges = 0
 
         async def exchange_versions(self, peer, versions):
-            self.greeted += 1
+            self.exchanges += 1
             return Greeting(NEWER)
 
     async def check():
-        connections, holder, brought = FakeGossipConnections(), FakeHolder(), []
-        exchange = VersionGossip(
+        connections, holder, fetched = FakeGossipConnections(), FakeHolder(), []
+        gossip = VersionGossip(
             connections,
             holder,
-            lambda peer, theirs: brought.append((peer, theirs)),
+            lambda peer, peer_versions: fetched.append((peer, peer_versions)),
             FakeStore(is_connected=False),
             lambda: ["one"],
             random.Random(1),
         )
-        running = asyncio.create_task(exchange.run())
-        while connections.greeted < 3:
+        running = asyncio.create_task(gossip.run())
+        while connections.exchanges < 3:
             await asyncio.sleep(0.01)
         running.cancel()
-        assert brought[:2] == [("one", NEWER)] * 2
+        assert fetched[:2] == [("one", NEWER)] * 2
 
     run_async(check())
--- a/tests/unit/test_sent_inputs.py
+++ b/tests/unit/test_sent_inputs.py
@@ -1,4 +1,4 @@
-"""What an attempt reads is what was decided, however late its call begins."""
+"""The inputs of an attempt are fixed at the decision, not when its call starts."""
 
 from types import SimpleNamespace
 
@@ -10,8 +10,8 @@
 RESULT = StoredResult("handle", "catalogue-0", "cluj-a", 8e3)
 
 
-class OneSend:
-    """A planner that frees the inputs of its one request right after its decision."""
+class FakePlanner:
+    """A planner whose request's inputs the test frees after the decision."""
 
     def __init__(self):
         self.inputs = (RESULT,)
@@ -20,15 +20,15 @@
         return self.inputs
 
 
-def test_inputs_that_are_freed_before_a_call_begins_are_still_named():
-    """Guards against an engine that is sent a request without what it is to read."""
-    given = []
+def test_inputs_that_are_freed_before_a_call_starts_are_still_sent():
+    """Guards against an engine that gets a request without its inputs."""
+    sent_inputs = []
 
     async def run(call, send, endpoint, inputs):
-        given.append(inputs)
+        sent_inputs.append(inputs)
 
     async def check():
-        planner = OneSend()
+        planner = FakePlanner()
         executor = GatewayExecutor(planner, settings(endpoints("engine")), None, None)
         executor._endpoint_calls = SimpleNamespace(run=run)
         executor._calls["r"] = SimpleNamespace(id="r", tasks={})
@@ -38,4 +38,4 @@
         await task
 
     run_async(check())
-    assert given == [(RESULT,)]
+    assert sent_inputs == [(RESULT,)]
