--- a/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
@@ -123,7 +123,7 @@
 
     async def _read_document(self, peer: str, document: Document) -> None:
         reader = self._readers[document]
-        while not reader.is_whole:
+        while not reader.is_complete:
             part = await self._connections.read_part(peer, reader.next_request())
             if not part.data:
                 raise MalformedDocumentError("the peer sent an empty part")
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -21,11 +21,11 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.policy import (
     AttemptId,
+    AttemptOutcome,
+    AttemptResult,
     CallKind,
     Endpoint,
-    Fate,
     Send,
-    StageResult,
     StoredResult,
 )
 
@@ -56,7 +56,7 @@
     def events_delivered(self, attempt: AttemptId, events: int) -> None:
         """Handle the number of a stream's events that its request has received."""
 
-    def attempt_ended(self, attempt: AttemptId, result: StageResult) -> None:
+    def attempt_ended(self, attempt: AttemptId, result: AttemptResult) -> None:
         """Handle the result of an attempt."""
 
 
@@ -107,7 +107,7 @@
         ``endpoint`` is ``None`` if it is no longer registered.
         """
         if endpoint is None:
-            result = StageResult(Fate.NOT_RUN, unreachable=True)
+            result = AttemptResult(AttemptOutcome.NOT_RUN, unreachable=True)
         else:
             result = await self._attempt(call, send, endpoint, inputs)
         self._listener.attempt_ended(send.attempt, result)
@@ -118,14 +118,14 @@
         send: Send,
         endpoint: Endpoint,
         inputs: tuple[StoredResult, ...],
-    ) -> StageResult:
+    ) -> AttemptResult:
         started = self._loop.time()
         call.attempts += 1
         try:
             return await self._exchange(call, send, endpoint, inputs, started)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             self._log(send, endpoint, "unreachable", repr(error), started)
-            return StageResult(Fate.NOT_RUN, unreachable=True)
+            return AttemptResult(AttemptOutcome.NOT_RUN, unreachable=True)
         except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
             self._log(send, endpoint, "lost", repr(error), started)
             return _unknown_outcome(call)
@@ -137,10 +137,10 @@
         endpoint: Endpoint,
         inputs: tuple[StoredResult, ...],
         started: float,
-    ) -> StageResult:
+    ) -> AttemptResult:
         remaining_s = send.deadline - started
         if remaining_s <= 0:
-            return StageResult(Fate.NOT_RUN)
+            return AttemptResult(AttemptOutcome.NOT_RUN)
         handles = tuple(result.handle for result in inputs)
         head = CallHead(
             endpoint=endpoint.id,
@@ -160,7 +160,7 @@
             answer = read_answer(response.status, response.headers)
             rejected = self._rejection(call, send, endpoint, answer, started)
             if rejected is not None:
-                if rejected.fate is not Fate.NOT_RUN:
+                if rejected.outcome is not AttemptOutcome.NOT_RUN:
                     response.close()
                 return rejected
             if call.route.kind is CallKind.STREAMING and answer.status == HTTP_OK:
@@ -174,7 +174,7 @@
         endpoint: Endpoint,
         answer: AnswerHead,
         started: float,
-    ) -> StageResult | None:
+    ) -> AttemptResult | None:
         """Return the result if the response cannot be used, or else ``None``."""
         # An endpoint that answers twice or too late leaves a response on a kept-alive
         # connection, where it would be read as the response to the next request. The
@@ -186,10 +186,10 @@
             self._listener.load_reported(endpoint.id, answer.load, awaited=True)
         if answer.not_run:
             self._log(send, endpoint, "not_run", str(answer.status), started)
-            return StageResult(
-                Fate.NOT_RUN,
+            return AttemptResult(
+                AttemptOutcome.NOT_RUN,
                 retry_after_s=answer.retry_after_s,
-                inputs_gone=answer.status == HTTP_CONFLICT,
+                inputs_missing=answer.status == HTTP_CONFLICT,
             )
         if not answer.signature:
             self._log(send, endpoint, "unsigned", str(answer.status), started)
@@ -203,16 +203,18 @@
         answer: AnswerHead,
         response: aiohttp.ClientResponse,
         started: float,
-    ) -> StageResult:
+    ) -> AttemptResult:
         with _ResetDetector(response) as detector:
             body = await response.read()
         detector.check()
         duration_s = self._loop.time() - started
         if answer.status >= FIRST_SERVER_ERROR:
             call.failed_response = CompleteResponse(answer, body)
-            return StageResult(Fate.FAILED, run_s=duration_s)
+            return AttemptResult(AttemptOutcome.FAILED, run_s=duration_s)
         call.finish(CompleteResponse(answer, body))
-        return StageResult(Fate.FINISHED, run_s=duration_s, output_bytes=len(body))
+        return AttemptResult(
+            AttemptOutcome.FINISHED, run_s=duration_s, output_bytes=len(body)
+        )
 
     async def _relay_stream(
         self,
@@ -221,7 +223,7 @@
         answer: AnswerHead,
         response: aiohttp.ClientResponse,
         started: float,
-    ) -> StageResult:
+    ) -> AttemptResult:
         buffer = EventBuffer()
         size = 0
         with _ResetDetector(response) as detector:
@@ -243,8 +245,10 @@
         if not call.stream_started:
             call.stream_started = True
             await call.events.put(StreamStarted(answer))
-        return StageResult(
-            Fate.FINISHED, run_s=self._loop.time() - started, output_bytes=size
+        return AttemptResult(
+            AttemptOutcome.FINISHED,
+            run_s=self._loop.time() - started,
+            output_bytes=size,
         )
 
     def _log(
@@ -295,7 +299,9 @@
             raise aiohttp.ClientPayloadError("connection reset") from error
 
 
-def _unknown_outcome(call: LiveCall) -> StageResult:
+def _unknown_outcome(call: LiveCall) -> AttemptResult:
     """Return the result of an attempt of which it is unknown whether it ran."""
-    may_repeat = call.route.may_repeat
-    return StageResult(Fate.FAILED if may_repeat else Fate.UNKNOWN)
+    may_repeat = call.route.is_repeatable
+    return AttemptResult(
+        AttemptOutcome.FAILED if may_repeat else AttemptOutcome.UNKNOWN
+    )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
@@ -60,7 +60,7 @@
         else:
             self._items[item.key] = item
         if endpoint is None:
-            self._directory.removed(self._time(), name)
+            self._directory.record_removed(self._time(), name)
             log.info("endpoint_removed", endpoint=name, revision=item.revision)
         else:
             self._directory.put(endpoint)
@@ -80,11 +80,11 @@
 
     def store_unreachable(self) -> None:
         """Keep the known endpoints."""
-        self._directory.lost()
+        self._directory.connection_lost()
 
     def store_reachable(self) -> None:
         """Give endpoints whose records expired meanwhile time to register again."""
-        self._directory.regained(self._time())
+        self._directory.connection_restored(self._time())
 
     def expire(self) -> None:
         """Remove endpoints that have not registered again in time."""
--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -22,30 +22,30 @@
 from amaranthtally.policy import (
     GATEWAY_TICK_S,
     Answer as AnswerAction,
-    Ask,
-    AskPeer,
     AttemptId,
+    AttemptOutcome,
+    AttemptResult,
     Cancel,
     Endpoint,
-    Fate,
     FreeAtPeer,
     FreeResults,
-    Greet,
     LoadReport,
-    Outcome,
     Peer,
-    PieceAsk,
+    PieceJob,
+    PieceReport,
     PiecesEnded,
-    PieceTold,
     Planner,
     PolicySettings,
-    Reason,
+    PollLoad,
+    QueryAttempt,
+    RefusalReason,
     Refuse,
+    ReportToPeer,
+    RequestOutcome,
     RunPieces,
     Send,
-    StageResult,
     StoredResult,
-    TellPeer,
+    SubmitToPeer,
 )
 
 __all__ = ["GatewayExecutor"]
@@ -76,14 +76,14 @@
             {
                 Send: self._send,
                 Cancel: self._cancel,
-                Ask: self._inquire,
-                Greet: self._probe_endpoint,
+                QueryAttempt: self._query_attempt,
+                PollLoad: self._poll_load,
                 AnswerAction: self._complete,
                 Refuse: self._refuse,
                 RunPieces: self._run_pieces,
                 FreeResults: self._free_results,
-                AskPeer: self._request_from_peer,
-                TellPeer: self._report_to_peer,
+                SubmitToPeer: self._submit_to_peer,
+                ReportToPeer: self._report_to_peer,
                 FreeAtPeer: self._release_at_peer,
             },
             GATEWAY_TICK_S,
@@ -126,26 +126,34 @@
         """Cancel a request whose caller has disconnected."""
         if self._calls.pop(call.id, None) is None:
             return
-        self._decisions.carry_out(self._planner.caller_gone(self._time(), call.id))
+        self._decisions.carry_out(
+            self._planner.caller_disconnected(self._time(), call.id)
+        )
         self._stop_attempts(call)
         log.info("request_abandoned", request_id=call.id, attempts=call.attempts)
 
     @property
     def peers_to_check(self) -> frozenset[str]:
         """The gateways to be probed: those in use and those that have failed."""
-        return self._planner.asked_peers | self._planner.shut_peers(self._time())
+        return self._planner.awaited_peers | self._planner.unavailable_peers(
+            self._time()
+        )
 
     def stop_making_pieces(self) -> None:
         """Stop making pieces for other gateways."""
-        self._decisions.carry_out(self._planner.leaving(self._time()))
+        self._decisions.carry_out(self._planner.entry_leaving(self._time()))
 
     def refuse_unsent(self) -> None:
         """Refuse all requests not sent to any endpoint, as the process is ending."""
         for call in list(self._calls.values()):
             if call.attempts:
                 continue
-            self._decisions.carry_out(self._planner.caller_gone(self._time(), call.id))
-            self._refuse(Refuse(call.id, Outcome.NOT_RUN, Reason.STOPPING))
+            self._decisions.carry_out(
+                self._planner.caller_disconnected(self._time(), call.id)
+            )
+            self._refuse(
+                Refuse(call.id, RequestOutcome.NOT_RUN, RefusalReason.STOPPING)
+            )
 
     def settings_changed(self, settings: PolicySettings) -> None:
         """Use newer settings from now on."""
@@ -186,19 +194,19 @@
         actions = self._planner.progress(self._time(), attempt, events)
         self._decisions.carry_out(actions)
 
-    def attempt_ended(self, attempt: AttemptId, result: StageResult) -> None:
+    def attempt_ended(self, attempt: AttemptId, result: AttemptResult) -> None:
         """Pass the result of an attempt to the policy."""
         call = self._calls.get(attempt.request_id)
         if call is None:
             return
         call.tasks.pop(attempt, None)
         pool = call.arrival.pipeline.stages[attempt.stage].pool
-        self._metrics.attempt_ended(pool, result.fate.value)
+        self._metrics.attempt_ended(pool, result.outcome.value)
         log.info(
             "attempt_decided",
             request_id=attempt.request_id,
             attempt=attempt.number,
-            fate=result.fate.value,
+            fate=result.outcome.value,
             run_ms=round(result.run_s * 1000),
         )
         actions = self._planner.reply(self._time(), attempt, result)
@@ -219,22 +227,22 @@
         """Report to the policy that a gateway did not answer."""
         self._decisions.carry_out(self._planner.peer_failed(self._time(), peer))
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """Report to the policy that a failed gateway makes pieces again."""
-        if peer not in self._planner.shut_peers(self._time()):
+        if peer not in self._planner.unavailable_peers(self._time()):
             return
         log.info("peer_back", peer=peer)
-        self._decisions.carry_out(self._planner.peer_back(self._time(), peer))
+        self._decisions.carry_out(self._planner.peer_recovered(self._time(), peer))
 
-    def pieces_asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def jobs_submitted(self, submitter: str, jobs: Sequence[PieceJob]) -> None:
         """Pass a gateway's request for pieces to the policy."""
         self._decisions.wake()
-        actions = self._planner.pieces_asked(self._time(), asker, asks)
+        actions = self._planner.jobs_submitted(self._time(), submitter, jobs)
         self._decisions.carry_out(actions)
 
-    def pieces_told(self, told: Sequence[PieceTold]) -> None:
+    def reports_received(self, reports: Sequence[PieceReport]) -> None:
         """Pass the outcomes of pieces at another gateway to the policy."""
-        self._decisions.carry_out(self._planner.pieces_told(self._time(), told))
+        self._decisions.carry_out(self._planner.reports_received(self._time(), reports))
 
     def results_not_released(self, results: Sequence[StoredResult]) -> None:
         """Free results at their endpoints if their release did not reach a peer."""
@@ -248,13 +256,13 @@
 
     # Actions
 
-    def _request_from_peer(self, order: AskPeer) -> None:
+    def _submit_to_peer(self, order: SubmitToPeer) -> None:
         assert self._connections is not None
-        self._connections.request_pieces(order.peer, order.asks)
+        self._connections.submit_jobs(order.peer, order.jobs)
 
-    def _report_to_peer(self, order: TellPeer) -> None:
+    def _report_to_peer(self, order: ReportToPeer) -> None:
         assert self._connections is not None
-        self._connections.report_pieces(order.peer, order.told)
+        self._connections.report_outcomes(order.peer, order.reports)
 
     def _release_at_peer(self, order: FreeAtPeer) -> None:
         assert self._connections is not None
@@ -283,12 +291,12 @@
         if task is not None:
             task.cancel()
 
-    def _inquire(self, ask: Ask) -> None:
+    def _query_attempt(self, query: QueryAttempt) -> None:
         # Endpoints on this platform cannot be asked for the outcome of a call. A lost
         # call ends as unknown before the policy would inquire about it.
-        self.attempt_ended(ask.attempt, StageResult(Fate.UNKNOWN))
+        self.attempt_ended(query.attempt, AttemptResult(AttemptOutcome.UNKNOWN))
 
-    def _probe_endpoint(self, greet: Greet) -> None:
+    def _poll_load(self, poll: PollLoad) -> None:
         """Do nothing: each probe costs money, and responses report the load anyway."""
 
     def _complete(self, answer: AnswerAction) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -105,10 +105,10 @@
         decoded = [(_name_of(item), _decode(item)) for item in items]
         peers = {name: record for name, record in decoded if record is not None}
         peers.pop(self._own_name, None)
-        doubted_before = set(self._directory.doubted)
+        unconfirmed_before = set(self._directory.unconfirmed)
         self._directory.replace(self._time(), peers)
-        for name in self._directory.doubted:
-            if name not in doubted_before:
+        for name in self._directory.unconfirmed:
+            if name not in unconfirmed_before:
                 log.info("peer_doubted", peer=name, cause="no record among all")
         self._on_change()
 
@@ -119,7 +119,7 @@
             return
         record = None if item.value is None else _decode(item)
         if record is None:
-            self._directory.removed(self._time(), [name])
+            self._directory.records_removed(self._time(), [name])
             log.info("peer_doubted", peer=name, revision=item.revision)
         else:
             self._directory.put(name, record)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
@@ -6,10 +6,10 @@
 
 from amaranthtally.daemon.lifecycle import split_address
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire import PeerLostError
 from amaranthtally.wire.documents import DocumentPart, PartRequest
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 from amaranthtally.wire.gateway_peer import GatewayClient, connect_gateway
 
 __all__ = ["INACTIVE_RECORD", "PeerConnections"]
@@ -41,7 +41,7 @@
     def peer_failed(self, peer: str) -> None:
         """Handle a peer that did not answer."""
 
-    def peer_back(self, peer: str) -> None:
+    def peer_recovered(self, peer: str) -> None:
         """Handle a peer that answers and makes pieces again."""
 
     def results_not_released(self, results: Sequence[StoredResult]) -> None:
@@ -77,13 +77,13 @@
             if addresses.get(name) != client.peer:
                 self._disconnect(name)
 
-    def request_pieces(self, peer: str, asks: Sequence[PieceAsk]) -> None:
+    def submit_jobs(self, peer: str, jobs: Sequence[PieceJob]) -> None:
         """Send a request for pieces to a peer, in the background."""
-        self._spawn(self._request_pieces(peer, asks))
+        self._spawn(self._submit_jobs(peer, jobs))
 
-    def report_pieces(self, peer: str, told: Sequence[PieceTold]) -> None:
+    def report_outcomes(self, peer: str, reports: Sequence[PieceReport]) -> None:
         """Report the outcomes of pieces to a peer; it requests lost ones again."""
-        self._spawn(self._report_pieces(peer, told))
+        self._spawn(self._report_outcomes(peer, reports))
 
     def release_results(
         self, peer: str, results: Sequence[StoredResult], ended: str
@@ -91,27 +91,29 @@
         """Tell a peer that results are no longer needed or that a request ended."""
         self._spawn(self._release_results(peer, results, ended))
 
-    async def exchange_versions(self, peer: str, versions: Versions) -> Greeting:
+    async def exchange_status(self, peer: str, versions: Versions) -> GatewayStatus:
         """Exchange versions with a peer; raises ``PeerLostError``."""
         return await self._call(
-            peer, lambda c: c.greet(self._name, self._record, versions)
+            peer, lambda c: c.exchange_status(self._name, self._record, versions)
         )
 
     async def read_part(self, peer: str, request: PartRequest) -> DocumentPart:
         """Read a part of a peer's document; raises ``PeerLostError``."""
-        return await self._call(peer, lambda client: client.read(request))
+        return await self._call(peer, lambda client: client.read_part(request))
 
     def close(self) -> None:
         """Close every connection."""
         for name in list(self._clients):
             self._disconnect(name)
 
-    async def _request_pieces(self, peer: str, asks: Sequence[PieceAsk]) -> None:
+    async def _submit_jobs(self, peer: str, jobs: Sequence[PieceJob]) -> None:
         try:
             now = self._loop.time()
-            await self._call(peer, lambda client: client.ask(self._name, asks, now))
+            await self._call(
+                peer, lambda client: client.submit_jobs(self._name, jobs, now)
+            )
         except PeerLostError as error:
-            log.info("peer_lost", peer=peer, pieces=len(asks), cause=str(error))
+            log.info("peer_lost", peer=peer, pieces=len(jobs), cause=str(error))
             self._listener.peer_failed(peer)
 
     async def run_heartbeat(self, peers_to_check: Callable[[], frozenset[str]]) -> None:
@@ -122,29 +124,33 @@
 
     async def _probe(self, peer: str) -> None:
         try:
-            answer = await self.exchange_versions(peer, Versions())
+            answer = await self.exchange_status(peer, Versions())
         except PeerLostError as error:
             log.info("peer_lost", peer=peer, cause=str(error))
             self._listener.peer_failed(peer)
             return
         # A restarted peer without a configuration would reject every requested piece.
         if answer.versions.configuration and not answer.leaving:
-            self._listener.peer_back(peer)
+            self._listener.peer_recovered(peer)
 
-    async def _report_pieces(self, peer: str, told: Sequence[PieceTold]) -> None:
+    async def _report_outcomes(self, peer: str, reports: Sequence[PieceReport]) -> None:
         for _ in range(REPORT_ATTEMPTS):
             try:
-                await self._call(peer, lambda client: client.tell(told))
+                await self._call(peer, lambda client: client.report_outcomes(reports))
                 return
             except PeerLostError as error:
-                log.info("peer_not_told", peer=peer, pieces=len(told), cause=str(error))
+                log.info(
+                    "peer_not_told", peer=peer, pieces=len(reports), cause=str(error)
+                )
             await asyncio.sleep(REPORT_RETRY_S)
 
     async def _release_results(
         self, peer: str, results: Sequence[StoredResult], ended: str
     ) -> None:
         try:
-            await self._call(peer, lambda client: client.free(results, ended))
+            await self._call(
+                peer, lambda client: client.release_results(results, ended)
+            )
         except PeerLostError as error:
             log.info("peer_not_told", peer=peer, results=len(results), cause=str(error))
             # Kept until they expire, these results would fill the memory of their
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -7,7 +7,7 @@
 from amaranthtally.daemon.gateway.endpoint_record_tracker import EndpointRecordTracker
 from amaranthtally.daemon.gateway.executor import GatewayExecutor
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.policy import PeerRecord, PieceAsk, PieceTold, StoredResult
+from amaranthtally.policy import PeerRecord, PieceJob, PieceReport, StoredResult
 from amaranthtally.wire.documents import (
     Document,
     DocumentPart,
@@ -17,7 +17,7 @@
     pack_records,
     unpack_records,
 )
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 
 __all__ = ["PeerHandler"]
 
@@ -49,20 +49,22 @@
         """The versions of this gateway's configuration and records."""
         return Versions(self._configuration.version, self._records.revision)
 
-    def greeted(self, name: str, record: PeerRecord, versions: Versions) -> Greeting:
+    def exchange_status(
+        self, name: str, record: PeerRecord, versions: Versions
+    ) -> GatewayStatus:
         """Return this gateway's versions; fetch the peer's configuration if newer."""
         self._on_greeting(name, record)
         self.note_peer_versions(name, versions)
         if versions.configuration > self._configuration.version:
             self._on_newer(name, versions)
-        return Greeting(self.versions, self._is_leaving())
+        return GatewayStatus(self.versions, self._is_leaving())
 
-    def part(self, request: PartRequest) -> DocumentPart:
+    def read_part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
         snapshots = self._snapshots[request.document]
         if not request.offset:
             self._refresh_snapshot(request.document, snapshots)
-        return snapshots.part(request)
+        return snapshots.read_part(request)
 
     def note_peer_versions(self, peer: str, versions: Versions) -> None:
         """Note which versions a peer holds."""
@@ -85,15 +87,15 @@
         else:
             self._apply_records(version, records)
 
-    def asked(self, asker: str, asks: Sequence[PieceAsk]) -> None:
+    def submit_jobs(self, submitter: str, jobs: Sequence[PieceJob]) -> None:
         """Handle a peer's request for pieces."""
-        self._executor.pieces_asked(asker, asks)
+        self._executor.jobs_submitted(submitter, jobs)
 
-    def told(self, told: Sequence[PieceTold]) -> None:
+    def report_outcomes(self, reports: Sequence[PieceReport]) -> None:
         """Handle a peer's report on the outcomes of pieces."""
-        self._executor.pieces_told(told)
+        self._executor.reports_received(reports)
 
-    def freed(self, results: Sequence[StoredResult], ended: str) -> None:
+    def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
         """Handle a peer's release of results and the end of one of its requests."""
         self._executor.results_freed(results, ended)
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
@@ -35,7 +35,7 @@
 
     def wake(self) -> None:
         """Probe at once if the directory has peers with missing records."""
-        if self._directory.doubted:
+        if self._directory.unconfirmed:
             self._probe_needed.set()
 
     async def run(self) -> None:
@@ -43,22 +43,22 @@
         while True:
             await self._probe_needed.wait()
             self._probe_needed.clear()
-            await asyncio.gather(*(self._probe(n) for n in self._directory.doubted))
-            if self._directory.doubted:
+            await asyncio.gather(*(self._probe(n) for n in self._directory.unconfirmed))
+            if self._directory.unconfirmed:
                 await asyncio.sleep(PROBE_INTERVAL_S)
                 self.wake()
 
     async def _probe(self, peer: str) -> None:
         try:
-            answer = await self._connections.exchange_versions(peer, Versions())
+            answer = await self._connections.exchange_status(peer, Versions())
         except PeerLostError as error:
             # The peer may only be stalled. It is probed again until its last response
             # is too old.
             log.info("peer_silent", peer=peer, cause=str(error))
             return
         if not answer.leaving:
-            self._directory.stays(self._time(), peer)
+            self._directory.note_alive(self._time(), peer)
             return
-        if self._directory.leaves(self._time(), peer):
+        if self._directory.note_left(self._time(), peer):
             log.info("peer_left", peer=peer)
             self._on_change()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
@@ -47,6 +47,6 @@
 
     def peer_greeted(self, name: str, record: PeerRecord) -> None:
         """Note the record that a peer sent with its greeting."""
-        if self._peers.greeted(self._time(), name, record):
+        if self._peers.note_greeting(self._time(), name, record):
             log.info("peer_met", peer=name, address=record.address)
             self.apply_live_peers()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -134,7 +134,7 @@
         started: float,
     ) -> None:
         took_s = self._loop.time() - started
-        batch = order.facts
+        batch = order.details
         self._metrics.pieces_ended(endpoint.pool, fate, len(order.pieces), took_s)
         log.info(
             "pieces_ended",
--- a/packages/daemon/src/amaranthtally/daemon/gateway/refusals.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/refusals.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from amaranthtally.adapter.callers import refusal_headers
-from amaranthtally.policy import Outcome, Reason, Refuse
+from amaranthtally.policy import RefusalReason, Refuse, RequestOutcome
 
 __all__ = ["STOPPING", "Refusal", "refusal_of", "refusal_response"]
 
@@ -38,10 +38,10 @@
     It is used only when that is certain; 502 and 504 guarantee nothing.
     """
     reason = refuse.reason.value
-    if refuse.outcome is Outcome.NOT_RUN:
+    if refuse.outcome is RequestOutcome.NOT_RUN:
         wait_s = refuse.retry_after_s or DEFAULT_RETRY_AFTER_S
         return Refusal(UNAVAILABLE, reason, wait_s)
-    status = TIMED_OUT if refuse.reason is Reason.DEADLINE else BAD_GATEWAY
+    status = TIMED_OUT if refuse.reason is RefusalReason.DEADLINE else BAD_GATEWAY
     return Refusal(status, reason)
 
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -50,7 +50,7 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.platform import open_store
 from amaranthtally.policy import (
-    GATEWAY_PARTS,
+    GATEWAY_COMPONENTS,
     PeerDirectory,
     PeerRecord,
     Planner,
@@ -230,7 +230,7 @@
 ) -> GatewayExecutor:
     initial = routing_state.initial_settings()
     planner_random = Random(random.getrandbits(SEED_BITS))
-    planner = Planner(initial, planner_random, GATEWAY_PARTS)
+    planner = Planner(initial, planner_random, GATEWAY_COMPONENTS)
     return GatewayExecutor(planner, initial, session, metrics)
 
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
@@ -61,7 +61,7 @@
 
     async def _exchange(self, peer: str) -> None:
         try:
-            answer = await self._connections.exchange_versions(
+            answer = await self._connections.exchange_status(
                 peer, self._holder.versions
             )
         except PeerLostError as error:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/departure.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
@@ -9,7 +9,7 @@
 from amaranthtally.settings.catalogue import DRAIN_PREFIX
 from amaranthtally.wire import EntryConnections
 
-__all__ = ["Departure"]
+__all__ = ["DrainController"]
 
 POLL_S = 0.02
 LINGER_S = 2.0
@@ -17,7 +17,7 @@
 log = get_logger()
 
 
-class Departure:
+class DrainController:
     """Tells entries that the sidecar takes no new work, and waits for the rest."""
 
     def __init__(
@@ -73,9 +73,9 @@
 
     async def _linger(self) -> None:
         for _ in range(int(LINGER_S / POLL_S)):
-            if not self._connections.greeted_entries:
+            if not self._connections.entry_count:
                 return
             await asyncio.sleep(POLL_S)
 
     async def _announce(self) -> None:
-        await self._connections.announce(self._handler.load())
+        await self._connections.announce_load(self._handler.load())
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -5,36 +5,36 @@
 
 from amaranthtally.policy.actions import (
     Action,
-    Ask,
     Cancel,
-    Outcome,
-    Reason,
+    QueryAttempt,
+    RefusalReason,
     Refuse,
+    RequestOutcome,
 )
 from amaranthtally.policy.dispatch import Dispatcher
 from amaranthtally.policy.events import (
     Arrival,
+    AttemptOutcome,
+    AttemptResult,
     CacheEvent,
-    Fate,
     LoadReport,
     PieceWork,
-    StageResult,
 )
-from amaranthtally.policy.first_events import FirstEvents
-from amaranthtally.policy.gathering import Gathering
+from amaranthtally.policy.first_event_times import FirstEventTimes
 from amaranthtally.policy.groups import EndpointGroups
-from amaranthtally.policy.learning import Learner
-from amaranthtally.policy.ledger import Counters, Ledger
-from amaranthtally.policy.load_questions import LoadQuestions
+from amaranthtally.policy.load_poller import LoadPoller
 from amaranthtally.policy.membership import Membership
 from amaranthtally.policy.model import AttemptId, PolicySettings
-from amaranthtally.policy.parts import Parts
+from amaranthtally.policy.outcome_recorder import OutcomeRecorder
+from amaranthtally.policy.piece_coordinator import CoordinatorEffects
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.piece_messages import PieceAsk, PiecesEnded, PieceTold
-from amaranthtally.policy.places import Peer
+from amaranthtally.policy.piece_messages import PieceJob, PieceReport, PiecesEnded
+from amaranthtally.policy.planner_components import PlannerComponents
+from amaranthtally.policy.pool_sites import Peer
 from amaranthtally.policy.prefixes import PrefixIndex
+from amaranthtally.policy.request_ledger import Counters, RequestLedger
 from amaranthtally.policy.requests import LiveAttempt, Request
-from amaranthtally.policy.stream_watch import StreamWatch
+from amaranthtally.policy.stream_monitor import StreamMonitor
 from amaranthtally.policy.timers import Timer, Timers
 
 __all__ = ["Planner"]
@@ -46,7 +46,7 @@
 MAX_ASKS = 3
 # What a second attempt costs the budget of retries, in attempts.
 FAILURE_COST = 1.0
-PARTS = Parts()
+COMPONENTS = PlannerComponents()
 
 
 class Planner:
@@ -61,33 +61,33 @@
         self,
         settings: PolicySettings,
         random: Random | None = None,
-        parts: Parts = PARTS,
+        components: PlannerComponents = COMPONENTS,
     ) -> None:
         random = random or Random(0)
         self._settings = settings
-        self._times = parts.stage_times()
-        self._loads = parts.loads()
-        self._ejections = parts.ejections()
+        self._times = components.stage_times()
+        self._loads = components.loads()
+        self._ejections = components.ejections()
         self._prefixes = PrefixIndex()
-        self._accounts = parts.accounts()
+        self._accounts = components.accounts()
         self._timers = Timers()
-        self._ledger = Ledger(self._loads)
+        self._ledger = RequestLedger(self._loads)
         groups = EndpointGroups(random)
         self._membership = Membership(
             groups, self._loads, self._ejections, self._prefixes
         )
-        self._router = parts.router(
+        self._router = components.router(
             random, groups, self._loads, self._ejections, self._prefixes
         )
-        self._load_questions = LoadQuestions(self._router, self._loads)
-        self._admission = parts.admission(
+        self._load_poller = LoadPoller(self._router, self._loads)
+        self._admission = components.admission(
             random, self._times, self._loads, self._accounts
         )
-        self._streams = StreamWatch(self._times, self._loads)
-        self._gatherer = parts.gatherer()
-        self._first_events = FirstEvents()
-        self._inputs = parts.inputs(random, self._gatherer, self._times)
-        self._learner = Learner(
+        self._streams = StreamMonitor(self._times, self._loads)
+        self._coordinator = components.coordinator()
+        self._first_events = FirstEventTimes()
+        self._inputs = components.inputs(random, self._coordinator, self._times)
+        self._outcome_recorder = OutcomeRecorder(
             self._times,
             self._loads,
             self._ejections,
@@ -117,12 +117,12 @@
     @property
     def has_pieces(self) -> bool:
         """Whether pieces are to be made, of whichever entry's requests."""
-        return self._gatherer.batcher.is_busy
+        return self._coordinator.batcher.is_busy
 
     @property
     def pieces_waiting(self) -> int:
         """Pieces that wait for a call here, of whichever entry's requests."""
-        return self._gatherer.batcher.waiting
+        return self._coordinator.batcher.waiting
 
     @property
     def counters(self) -> Counters:
@@ -140,83 +140,83 @@
         """Admit and send the first stage, or refuse."""
         for stage in arrival.pipeline.stages:
             self._membership.prepare(now, stage)
-        verdict = self._admission.judge(now, arrival)
-        if verdict.reason is None and arrival.work is not None:
-            verdict = self._inputs.judge(now, arrival, arrival.work)
+        verdict = self._admission.decide(now, arrival)
+        if verdict.reason is None and arrival.piece_work is not None:
+            verdict = self._inputs.judge(now, arrival, arrival.piece_work)
         if verdict.reason is not None:
             self.counters.refused_on_arrival += 1
             return [
                 Refuse(
                     arrival.request_id,
-                    Outcome.NOT_RUN,
+                    RequestOutcome.NOT_RUN,
                     verdict.reason,
                     verdict.retry_after_s,
                 )
             ]
         request = self._ledger.open(arrival)
         self._timers.set(arrival.deadline, request.id)
-        if arrival.work is not None:
-            return self._gather(now, request, arrival.work)
+        if arrival.piece_work is not None:
+            return self._gather(now, request, arrival.piece_work)
         return self._start_stage(now, request)
 
     def pieces_ended(self, now: float, call: int, end: PiecesEnded) -> list[Action]:
         """Take the end of a call with pieces."""
-        return self._follow(now, self._gatherer.calls_ended(now, call, end))
+        return self._follow(now, self._coordinator.call_ended(now, call, end))
 
-    def pieces_asked(
-        self, now: float, asker: str, asks: Iterable[PieceAsk]
+    def jobs_submitted(
+        self, now: float, asker: str, asks: Iterable[PieceJob]
     ) -> list[Action]:
         """Take pieces that another entry wants made."""
-        return self._follow(now, self._gatherer.asked(now, asker, asks))
+        return self._follow(now, self._coordinator.accept_jobs(now, asker, asks))
 
-    def pieces_told(self, now: float, told: Iterable[PieceTold]) -> list[Action]:
+    def reports_received(self, now: float, told: Iterable[PieceReport]) -> list[Action]:
         """Hear from another entry what became of pieces."""
-        return self._follow(now, self._gatherer.told(now, told))
+        return self._follow(now, self._coordinator.take_reports(now, told))
 
     def results_freed(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
     ) -> list[Action]:
         """Take another entry's word that results are read no more, or a request."""
-        return self._gatherer.freed_by_peer(now, results, ended)
+        return self._coordinator.free_for_peer(now, results, ended)
 
     def peers_changed(self, now: float, peers: Iterable[Peer]) -> list[Action]:
         """Use these live entries beside this one."""
-        self._gatherer.replace_peers(peers)
+        self._coordinator.replace_peers(peers)
         return []
 
     @property
-    def asked_peers(self) -> frozenset[str]:
+    def awaited_peers(self) -> frozenset[str]:
         """The entries that make pieces for requests of this one now."""
-        return self._gatherer.asked_peers
+        return self._coordinator.awaited_peers
 
-    def shut_peers(self, now: float) -> frozenset[str]:
+    def unavailable_peers(self, now: float) -> frozenset[str]:
         """Return the live entries that are asked for nothing, as they failed."""
-        return self._gatherer.shut_peers(now)
+        return self._coordinator.unavailable_peers(now)
 
-    def leaving(self, now: float) -> list[Action]:
+    def entry_leaving(self, now: float) -> list[Action]:
         """Make no more pieces for others, as this entry leaves."""
-        return self._follow(now, self._gatherer.leave(now))
+        return self._follow(now, self._coordinator.leave(now))
 
     def peer_failed(self, now: float, peer: str) -> list[Action]:
         """Ask an entry that did not answer for nothing for a while."""
-        return self._follow(now, self._gatherer.peer_failed(now, peer))
+        return self._follow(now, self._coordinator.peer_failed(now, peer))
 
-    def peer_back(self, now: float, peer: str) -> list[Action]:
+    def peer_recovered(self, now: float, peer: str) -> list[Action]:
         """Ask an entry again that answers and takes part."""
-        self._gatherer.peer_back(peer)
+        self._coordinator.peer_recovered(peer)
         return []
 
     def reply(
-        self, now: float, attempt: AttemptId, result: StageResult
+        self, now: float, attempt: AttemptId, result: AttemptResult
     ) -> list[Action]:
         """Take the end of an attempt; one that is no longer awaited is dropped."""
         request = self._ledger.find(attempt.request_id)
         if request is None or attempt not in request.live:
             return []
         ended = self._ledger.ended(request, attempt)
-        if result.fate is Fate.FINISHED:
+        if result.outcome is AttemptOutcome.FINISHED:
             return self._finished(now, request, ended, result)
-        if result.fate is Fate.LOST and not request.current.repeatable:
+        if result.outcome is AttemptOutcome.LOST and not request.current.repeatable:
             return self._ask(now, request, attempt, ended)
         return self._recover(now, request, ended, result)
 
@@ -231,7 +231,7 @@
                 self._first_events.note(name, now - live.sent_at)
                 # Known as soon as it is read: the next request of a session comes
                 # before this one's stream has ended, and would be read elsewhere.
-                self._prefixes.ran(now, live.endpoint, request.arrival.prefix)
+                self._prefixes.add_run(now, live.endpoint, request.arrival.prefix)
             self._ledger.has_read(live)
             self._streams.note(now, request.current, live.endpoint, live.stream, chunks)
             freed = self._inputs.free(now, request)
@@ -242,22 +242,22 @@
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
         """Take an endpoint's load, from a reply or a greeting."""
-        self._membership.report(now, endpoint, report)
+        self._membership.apply_report(now, endpoint, report)
         return []
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
         """Take an engine's word of its prefix cache, late or after a gap."""
-        self._prefixes.event(now, endpoint, event)
+        self._prefixes.apply_event(now, endpoint, event)
         return []
 
     def endpoint_leaving(self, now: float, endpoint: str) -> list[Action]:
         """Send nothing new to an endpoint."""
-        self._membership.leaving(now, endpoint)
+        self._membership.mark_leaving(now, endpoint)
         return []
 
-    def endpoint_staying(self, now: float, endpoint: str) -> list[Action]:
+    def endpoint_restored(self, now: float, endpoint: str) -> list[Action]:
         """Use an endpoint again that was thought to leave."""
-        self._membership.staying(now, endpoint)
+        self._membership.mark_staying(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
@@ -265,20 +265,20 @@
         self._configure(now, settings)
         return []
 
-    def caller_gone(self, now: float, request_id: str) -> list[Action]:
+    def caller_disconnected(self, now: float, request_id: str) -> list[Action]:
         """Cancel and forget a request whose caller has closed the connection."""
         request = self._ledger.find(request_id)
         if request is None:
             return []
-        return [*self._ledger.gone(request), *self._gatherer.close(now, request_id)]
+        return [*self._ledger.gone(request), *self._coordinator.close(now, request_id)]
 
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
         self._accounts.refresh(now)
-        actions = self._membership.greetings(now)
-        actions.extend(self._load_questions.take(now))
-        actions.extend(self._inputs.free_read(now, self._ledger))
-        actions.extend(self._follow(now, self._gatherer.tick(now)))
+        actions = self._membership.due_load_requests(now)
+        actions.extend(self._load_poller.due_load_requests(now))
+        actions.extend(self._inputs.free_fetched(now, self._ledger))
+        actions.extend(self._follow(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
             actions.extend(self._look(now, timer))
         return actions
@@ -288,16 +288,16 @@
     def _gather(self, now: float, request: Request, work: PieceWork) -> list[Action]:
         request.gathering = True
         arrival = request.arrival
-        news = self._gatherer.begin(
+        news = self._coordinator.begin(
             now,
             request.id,
             work.stages,
             work.counts,
             work.key,
             arrival.objective or arrival.deadline,
-            self._inputs.made_by(arrival),
+            self._inputs.pieces_deadline(arrival),
             arrival.priority,
-            self._router.likely_place(now, arrival),
+            self._router.predicted_data_centre(now, arrival),
             self._first_events.usual_s(arrival.pipeline.name),
         )
         return self._follow(now, news)
@@ -309,19 +309,19 @@
         request.gathering = True
         request.retry_cost = retry_cost
         request.inputs = ()
-        return self._follow(now, self._gatherer.begin_again(now, request.id))
+        return self._follow(now, self._coordinator.recompute_inputs(now, request.id))
 
-    def _follow(self, now: float, news: Gathering) -> list[Action]:
+    def _follow(self, now: float, news: CoordinatorEffects) -> list[Action]:
         actions = news.actions
         for request_id in news.failed:
             request = self._ledger.find(request_id)
             if request is not None:
-                actions += self._refuse(now, request, Reason.STAGE_FAILED)
+                actions += self._refuse(now, request, RefusalReason.STAGE_FAILED)
         for request_id in news.late:
             request = self._ledger.find(request_id)
             if request is not None:
-                wait_s = self._inputs.return_s(now, request.arrival)
-                actions += self._refuse(now, request, Reason.OVERLOAD, wait_s)
+                wait_s = self._inputs.retry_after_s(now, request.arrival)
+                actions += self._refuse(now, request, RefusalReason.OVERLOAD, wait_s)
         for request_id in news.ready:
             request = self._ledger.find(request_id)
             if request is not None and request.gathering:
@@ -330,12 +330,12 @@
 
     def _gathered(self, now: float, request: Request) -> list[Action]:
         request.gathering = False
-        request.inputs = self._gatherer.inputs_of(request.id)
+        request.inputs = self._coordinator.inputs_of(request.id)
         self._inputs.note_sent(now, request)
         if not request.number:
             return self._start_stage(now, request)
         actions = self._dispatcher.retry(now, request, request.retry_cost)
-        return actions or self._refuse(now, request, Reason.STAGE_FAILED)
+        return actions or self._refuse(now, request, RefusalReason.STAGE_FAILED)
 
     # Stages
 
@@ -343,19 +343,19 @@
         if self._is_hopeless(now, request):
             return self._refuse_late(now, request)
         actions = self._dispatcher.first(now, request)
-        return actions or self._refuse(now, request, Reason.NO_ENDPOINT)
+        return actions or self._refuse(now, request, RefusalReason.NO_ENDPOINT)
 
     def _finished(
-        self, now: float, request: Request, ended: LiveAttempt, result: StageResult
+        self, now: float, request: Request, ended: LiveAttempt, result: AttemptResult
     ) -> list[Action]:
-        self._learner.finished(now, request, ended, result)
+        self._outcome_recorder.attempt_finished(now, request, ended, result)
         request.previous_bytes = result.output_bytes
         losers = list(request.live.values())
         actions = self._ledger.cancel_all(request)
         for loser in losers:
-            self._learner.overtaken(now, loser, ended)
+            self._outcome_recorder.attempt_overtaken(now, loser, ended)
         if not self._ledger.stage_done(request):
-            freed = self._gatherer.close(now, request.id)
+            freed = self._coordinator.close(now, request.id)
             return [*actions, *freed, self._ledger.answered(request)]
         return actions + self._start_stage(now, request)
 
@@ -378,30 +378,30 @@
     ) -> list[Action]:
         load = self._loads.find(lost.endpoint)
         if lost.asks >= MAX_ASKS or load is None:
-            return self._refuse(now, request, Reason.STAGE_FAILED)
+            return self._refuse(now, request, RefusalReason.STAGE_FAILED)
         self._ledger.asked(request, attempt, lost)
-        return [Ask(attempt, lost.endpoint)]
+        return [QueryAttempt(attempt, lost.endpoint)]
 
     def _recover(
-        self, now: float, request: Request, ended: LiveAttempt, result: StageResult
+        self, now: float, request: Request, ended: LiveAttempt, result: AttemptResult
     ) -> list[Action]:
-        not_run = result.fate is Fate.NOT_RUN
+        not_run = result.outcome is AttemptOutcome.NOT_RUN
         request.unstarted += not_run
         request.stage_unstarted += not_run
-        self._learner.failed(now, request, ended, result)
+        self._outcome_recorder.attempt_failed(now, request, ended, result)
         if request.live:
             return []
-        if not result.inputs_gone:
+        if not result.inputs_missing:
             request.avoid |= {ended.endpoint}
-        reason = Reason.OVERLOAD if not_run else Reason.STAGE_FAILED
+        reason = RefusalReason.OVERLOAD if not_run else RefusalReason.STAGE_FAILED
         may_resend = (request.current.repeatable or not_run) and request.may_run_again
         if result.permanent or not may_resend or request.resends >= MAX_RESENDS:
             return self._refuse(now, request, reason, result.retry_after_s)
         if self._has_too_little_left(now, request):
             return self._refuse_late(now, request, result.retry_after_s)
         cost = self._retry_cost(request, ended, not_run)
-        if request.arrival.work is not None and (
-            result.inputs_gone or not request.inputs
+        if request.arrival.piece_work is not None and (
+            result.inputs_missing or not request.inputs
         ):
             return self._gather_again(now, request, cost)
         actions = self._dispatcher.retry(now, request, cost)
@@ -416,7 +416,7 @@
         otherwise use up the tries of a request that one endpoint could take.
         """
         load = self._loads.find(ended.endpoint)
-        if not_run and load is not None and not load.takes(request.current.model):
+        if not_run and load is not None and not load.accepts(request.current.model):
             return 0.0
         return self._settings.not_run_cost if not_run else FAILURE_COST
 
@@ -432,7 +432,7 @@
         actions: list[Action] = []
         for attempt in passed:
             loser = self._ledger.ended(request, attempt)
-            self._learner.overtaken(now, loser, ahead)
+            self._outcome_recorder.attempt_overtaken(now, loser, ahead)
             actions.append(Cancel(attempt, loser.endpoint))
         return actions
 
@@ -441,14 +441,22 @@
     ) -> list[Action]:
         """Refuse before its deadline what can't be answered by it."""
         # Where no attempt ran, its caller is told when to come back.
-        reason = Reason.OVERLOAD if request.nothing_started else Reason.DEADLINE
+        reason = (
+            RefusalReason.OVERLOAD
+            if request.nothing_started
+            else RefusalReason.DEADLINE
+        )
         return self._refuse(now, request, reason, retry_after_s)
 
     def _refuse(
-        self, now: float, request: Request, reason: Reason, retry_after_s: float = 0.0
+        self,
+        now: float,
+        request: Request,
+        reason: RefusalReason,
+        retry_after_s: float = 0.0,
     ) -> list[Action]:
         backlog = self._admission.retry_after_s(now, request.remaining)
-        freed = self._gatherer.close(now, request.id)
+        freed = self._coordinator.close(now, request.id)
         wait_s = max(retry_after_s, backlog)
         return [*freed, *self._ledger.refused(request, reason, wait_s)]
 
@@ -465,13 +473,13 @@
         return self._dispatcher.hedge(now, request, timer.attempt)
 
     def _too_late(self, now: float, request: Request) -> list[Action]:
-        self._learner.cut_off(now, request)
-        return self._refuse(now, request, Reason.DEADLINE)
+        self._outcome_recorder.deadline_passed(now, request)
+        return self._refuse(now, request, RefusalReason.DEADLINE)
 
     def _configure(self, now: float, settings: PolicySettings) -> None:
         self._settings = settings
         self._membership.replace(now, settings)
-        self._gatherer.configure(
+        self._coordinator.configure(
             settings.entry,
             settings.region,
             settings.data_centre,
--- a/packages/policy/src/amaranthtally/policy/parts.py
+++ b/packages/policy/src/amaranthtally/policy/planner_components.py
@@ -7,25 +7,25 @@
 from amaranthtally.policy.accounts import AccountShares
 from amaranthtally.policy.admission import Admission
 from amaranthtally.policy.ejection import Ejections
-from amaranthtally.policy.gathering import Gatherer
 from amaranthtally.policy.groups import EndpointGroups
 from amaranthtally.policy.loads import LoadTable
+from amaranthtally.policy.piece_coordinator import PieceCoordinator
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.policy.request_inputs import RequestInputs
 from amaranthtally.policy.routing import Router
 from amaranthtally.policy.stage_times import StageTimes
 
-__all__ = ["BuildInputs", "BuildRouter", "Parts"]
+__all__ = ["BuildInputs", "BuildRouter", "PlannerComponents"]
 
 BuildAdmission = Callable[[Random, StageTimes, LoadTable, AccountShares], Admission]
 BuildRouter = Callable[
     [Random, EndpointGroups, LoadTable, Ejections, PrefixIndex], Router
 ]
-BuildInputs = Callable[[Random, Gatherer, StageTimes], RequestInputs]
+BuildInputs = Callable[[Random, PieceCoordinator, StageTimes], RequestInputs]
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class PlannerComponents:
     """Factories of the parts that take one decision each."""
 
     stage_times: Callable[[], StageTimes] = StageTimes
@@ -34,5 +34,5 @@
     accounts: Callable[[], AccountShares] = AccountShares
     admission: BuildAdmission = Admission
     router: BuildRouter = Router
-    gatherer: Callable[[], Gatherer] = Gatherer
+    coordinator: Callable[[], PieceCoordinator] = PieceCoordinator
     inputs: BuildInputs = RequestInputs
--- a/packages/policy/src/amaranthtally/policy/stream_watch.py
+++ b/packages/policy/src/amaranthtally/policy/stream_monitor.py
@@ -3,11 +3,11 @@
 from amaranthtally.policy.loads import LoadTable
 from amaranthtally.policy.model import Stage
 from amaranthtally.policy.requests import LiveAttempt, Request
+from amaranthtally.policy.scoring import Choice
 from amaranthtally.policy.stage_times import StageStats, StageTimes
-from amaranthtally.policy.streams import Stream
-from amaranthtally.policy.weighing import Choice
+from amaranthtally.policy.stream_progress import Stream
 
-__all__ = ["STUCK_FACTOR", "StreamWatch"]
+__all__ = ["STUCK_FACTOR", "StreamMonitor"]
 
 # Times between chunks after which one is overdue.
 OVERDUE = 2.0
@@ -15,7 +15,7 @@
 STUCK_FACTOR = 2.0
 
 
-class StreamWatch:
+class StreamMonitor:
     """
     Learns from chunks, and tells which streams will end late.
 
@@ -37,11 +37,11 @@
         if interval_s <= 0 or load is None:
             return
         stats = self._times.of(stage)
-        beside = load.beside(max(0.0, load.occupancy(now) - 1.0))
-        usual_s = stats.pace_beside_s(beside)
+        beside = load.concurrent(max(0.0, load.occupancy(now) - 1.0))
+        usual_s = stats.chunk_time_s(beside)
         if usual_s > 0:
-            load.note_pace(now, interval_s / usual_s)
-        stats.add_pace(interval_s, beside)
+            load.note_chunk_time(now, interval_s / usual_s)
+        stats.add_chunk_time(interval_s, beside)
 
     def note_quiet(self, now: float, attempt: LiveAttempt, stats: StageStats) -> None:
         """
@@ -51,14 +51,14 @@
         sent there; by then many more would have followed them.
         """
         load = self._loads.find(attempt.endpoint)
-        usual_s = stats.pace_beside_s(attempt.beside)
+        usual_s = stats.chunk_time_s(attempt.beside)
         heard_at = attempt.stream.heard_at
         # Before the first chunk it may as well wait in a queue that nobody knew of.
         if load is None or usual_s <= 0 or not heard_at:
             return
         ratio = (now - heard_at) / usual_s
         if ratio >= OVERDUE:
-            load.note_pace(now, ratio)
+            load.note_chunk_time(now, ratio)
 
     def risk(
         self, now: float, attempt: LiveAttempt, end: float, stats: StageStats
@@ -72,13 +72,13 @@
         after longer than nearly any whole run is taken to be stuck: its engine
         stands still, and half of the deadline goes by before its sidecar says so.
         """
-        usual_s = stats.pace_beside_s(attempt.beside)
+        usual_s = stats.chunk_time_s(attempt.beside)
         stream = attempt.stream
         done_s = stream.chunks * usual_s
         left_s = end - now
         if not stream.heard_at:
             silent_s = now - attempt.sent_at - attempt.wait_s
-            if stats.known and silent_s > STUCK_FACTOR * stats.slow_s:
+            if stats.has_enough_samples and silent_s > STUCK_FACTOR * stats.p99_s:
                 return 1.0
             return _tail_after(stats, done_s, left_s)
         quiet_s = now - stream.heard_at
@@ -91,11 +91,11 @@
     ) -> float:
         """Return the probability that the rest of a stream ends late elsewhere."""
         stats = self._times.of(request.current)
-        done_s = request.chunks * stats.pace_beside_s(choice.beside)
+        done_s = request.chunks * stats.chunk_time_s(choice.concurrent)
         slowness = choice.run_s / stats.mean_s
-        left_s = (end - now - choice.before_s) / slowness
+        left_s = (end - now - choice.delay_s) / slowness
         load = self._loads.find(choice.endpoint.id)
-        failing = load.failing(now) if load is not None else 0.0
+        failing = load.failure_rate(now) if load is not None else 0.0
         return 1.0 - (1.0 - _tail_after(stats, done_s, left_s)) * (1.0 - failing)
 
 
--- a/packages/simulator/src/amaranthtally/simulator/variants.py
+++ b/packages/simulator/src/amaranthtally/simulator/variants.py
@@ -5,19 +5,19 @@
 from typing import TypeVar
 
 from amaranthtally.policy import (
-    GATEWAY_PARTS,
+    GATEWAY_COMPONENTS,
     Arrival,
     Endpoint,
-    Gatherer,
-    Parts,
+    PieceCoordinator,
     PieceLimits,
+    PlannerComponents,
     PolicySettings,
 )
 from amaranthtally.policy.batcher import Batcher
 from amaranthtally.policy.ejection import Ejections
-from amaranthtally.policy.parts import BuildInputs, BuildRouter
 from amaranthtally.policy.piece_servers import PieceServer, PieceServers
-from amaranthtally.policy.places import Places
+from amaranthtally.policy.planner_components import BuildInputs, BuildRouter
+from amaranthtally.policy.pool_sites import PoolSites
 from amaranthtally.policy.stage_plans import StagePlans
 
 __all__ = [
@@ -53,7 +53,7 @@
     """A policy: its parts, and what it changes in settings and arrivals."""
 
     name: str = "policy"
-    parts: Parts = GATEWAY_PARTS
+    components: PlannerComponents = GATEWAY_COMPONENTS
     adapt_settings: Callable[[PolicySettings], PolicySettings] = _same_settings
     adapt_arrival: Callable[[Arrival], Arrival] = _same_arrival
 
@@ -89,7 +89,7 @@
 
 def of_batcher(build: Callable[[], Batcher]) -> Variant:
     """Return the policy with other calls with pieces."""
-    return _of_gatherer(lambda: Gatherer(build()))
+    return _of_coordinator(lambda: PieceCoordinator(build()))
 
 
 def of_server(build: Callable[[Endpoint, PieceLimits], PieceServer]) -> Variant:
@@ -97,29 +97,29 @@
     return of_batcher(lambda: Batcher(PieceServers(build)))
 
 
-def of_places(build: Callable[[], Places]) -> Variant:
+def of_places(build: Callable[[], PoolSites]) -> Variant:
     """Return the policy with other owners or waits of places."""
-    return _of_gatherer(lambda: Gatherer(places=build()))
+    return _of_coordinator(lambda: PieceCoordinator(sites=build()))
 
 
-def of_plans(build: Callable[[Places, Batcher], StagePlans]) -> Variant:
+def of_plans(build: Callable[[PoolSites, Batcher], StagePlans]) -> Variant:
     """Return the policy with other plans of stages."""
-    return _of_gatherer(lambda: Gatherer(build_plans=build))
+    return _of_coordinator(lambda: PieceCoordinator(build_plans=build))
 
 
 def of_inputs(build: BuildInputs) -> Variant:
     """Return the policy with another admission by stages, or other freeing."""
-    return Variant(parts=replace(GATEWAY_PARTS, inputs=build))
+    return Variant(components=replace(GATEWAY_COMPONENTS, inputs=build))
 
 
 def of_ejections(build: Callable[[], Ejections]) -> Variant:
     """Return the policy with other ejections."""
-    return Variant(parts=replace(GATEWAY_PARTS, ejections=build))
+    return Variant(components=replace(GATEWAY_COMPONENTS, ejections=build))
 
 
 def of_router(build: BuildRouter) -> Variant:
     """Return the policy with another choice of endpoints."""
-    return Variant(parts=replace(GATEWAY_PARTS, router=build))
+    return Variant(components=replace(GATEWAY_COMPONENTS, router=build))
 
 
 def of_settings(adapt: Callable[[PolicySettings], PolicySettings]) -> Variant:
@@ -132,5 +132,5 @@
     return Variant(adapt_arrival=adapt)
 
 
-def _of_gatherer(build: Callable[[], Gatherer]) -> Variant:
-    return Variant(parts=replace(GATEWAY_PARTS, gatherer=build))
+def _of_coordinator(build: Callable[[], PieceCoordinator]) -> Variant:
+    return Variant(components=replace(GATEWAY_COMPONENTS, coordinator=build))
--- a/packages/wire/src/amaranthtally/wire/__init__.py
+++ b/packages/wire/src/amaranthtally/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Inner protocol between entries and sidecars: messages, codec, client, server."""
+"""Protocol between entries and sidecars: messages, codec, client and server."""
 
 from amaranthtally.wire.client import SidecarClient, connect_sidecar
 from amaranthtally.wire.connections import EntryConnections
@@ -9,16 +9,16 @@
     WireError,
 )
 from amaranthtally.wire.messages import (
-    CacheNews,
+    AtMostOnceTerms,
+    CacheUpdate,
     CallId,
     ChunkHandler,
     ChunksHandler,
-    Greeting,
-    Inquiry,
+    HelloReply,
     Load,
     ModelState,
-    OnceTerms,
-    SettingsGap,
+    OutcomeQuery,
+    SettingsDelta,
     StageCall,
     StageReply,
     Status,
@@ -31,21 +31,21 @@
 )
 
 __all__ = [
-    "CacheNews",
+    "CacheUpdate",
     "CallId",
     "ChunkHandler",
     "ChunkRefusedError",
     "ChunksHandler",
     "EntryConnections",
-    "Greeting",
-    "Inquiry",
+    "HelloReply",
+    "OutcomeQuery",
     "Load",
     "ModelState",
-    "OnceTerms",
+    "AtMostOnceTerms",
     "PeerLostError",
     "ReplyMismatchError",
     "SettingsFetcher",
-    "SettingsGap",
+    "SettingsDelta",
     "SettingsSource",
     "SidecarClient",
     "SidecarHandler",
--- a/packages/wire/src/amaranthtally/wire/codec.py
+++ b/packages/wire/src/amaranthtally/wire/codec.py
@@ -1,4 +1,4 @@
-"""Conversion between typed messages and Cap'n Proto structs."""
+"""Conversion between the sidecar protocol's messages and Cap'n Proto structs."""
 
 from typing import Any
 
@@ -10,14 +10,14 @@
     to_seconds,
 )
 from amaranthtally.wire.load_codec import (
+    read_cache_update,
     read_load,
-    read_news,
+    write_cache_update,
     write_load,
-    write_news,
 )
 from amaranthtally.wire.messages import (
+    AtMostOnceTerms,
     CallId,
-    OnceTerms,
     StageCall,
     StageReply,
     Status,
@@ -51,14 +51,14 @@
 
 
 def read_call_id(source: Any) -> CallId:
-    """Return the call id held by a reader."""
+    """Decode a ``CallId`` reader."""
     return CallId(*read_fields(source, _CALL_ID))
 
 
-# Terms of calls that may not be repeated
+# Terms of at-most-once calls
 
 
-def write_terms(target: Any, terms: OnceTerms) -> None:
+def write_terms(target: Any, terms: AtMostOnceTerms) -> None:
     """Fill an ``OnceTerms`` builder."""
     target.incarnation = terms.incarnation
     target.issuedMicros = to_micros(terms.issued_s)
@@ -77,12 +77,12 @@
 )
 
 
-def read_terms(source: Any) -> OnceTerms:
-    """Return the terms held by a reader."""
+def read_terms(source: Any) -> AtMostOnceTerms:
+    """Decode an ``OnceTerms`` reader."""
     incarnation, issued_micros, permit, fingerprint, expires_micros = read_fields(
         source, _TERMS
     )
-    return OnceTerms(
+    return AtMostOnceTerms(
         incarnation=incarnation,
         issued_s=to_seconds(issued_micros),
         permit=permit,
@@ -128,16 +128,16 @@
     "revision",
     "cacheSerial",
 )
-_CALL_ONCE = fields_of(schema.StageCall, "terms", "callKey")
+_AT_MOST_ONCE = fields_of(schema.StageCall, "terms", "callKey")
 
 
 def read_call(source: Any) -> StageCall:
-    """Return the stage call held by a reader."""
+    """Decode a ``StageCall`` reader."""
     (
         call_id,
         account,
         stage_name,
-        body,
+        input_data,
         remaining_micros,
         priority,
         repeatable,
@@ -147,15 +147,15 @@
         revision,
         cache_serial,
     ) = read_fields(source, _CALL)
-    terms, call_key = OnceTerms(), ""
+    terms, call_key = AtMostOnceTerms(), ""
     if not repeatable:
-        found, call_key = read_fields(source, _CALL_ONCE)
-        terms = read_terms(found)
+        terms_reader, call_key = read_fields(source, _AT_MOST_ONCE)
+        terms = read_terms(terms_reader)
     return StageCall(
         id=read_call_id(call_id),
         account=account,
         stage_name=stage_name,
-        input=bytes(body),
+        input=bytes(input_data),
         remaining_s=to_seconds(remaining_micros),
         priority=priority,
         repeatable=repeatable,
@@ -182,7 +182,7 @@
     target.runMicros = to_micros(reply.run_s)
     target.permit = reply.permit
     if reply.cache.serial:
-        write_news(target.cache, reply.cache)
+        write_cache_update(target.cache, reply.cache)
 
 
 _REPLY = fields_of(
@@ -203,7 +203,7 @@
 
 
 def read_reply(source: Any) -> StageReply:
-    """Return the stage reply held by a reader."""
+    """Decode a ``StageReply`` reader."""
     (
         call_id,
         status,
@@ -228,5 +228,5 @@
         queued_s=to_seconds(queued_micros),
         run_s=to_seconds(run_micros),
         permit=permit,
-        cache=read_news(cache),
+        cache=read_cache_update(cache),
     )
--- a/packages/wire/src/amaranthtally/wire/load_codec.py
+++ b/packages/wire/src/amaranthtally/wire/load_codec.py
@@ -1,4 +1,4 @@
-"""Conversion of what a sidecar tells of itself: its load and its engine's cache."""
+"""Codec of a sidecar's load and of the updates of its engine's prefix cache."""
 
 from typing import Any
 
@@ -9,9 +9,9 @@
     to_micros,
     to_seconds,
 )
-from amaranthtally.wire.messages import NO_NEWS, CacheNews, Load, ModelState
+from amaranthtally.wire.messages import NO_CACHE_UPDATE, CacheUpdate, Load, ModelState
 
-__all__ = ["read_load", "read_news", "write_load", "write_news"]
+__all__ = ["read_load", "read_cache_update", "write_load", "write_cache_update"]
 
 
 def write_load(target: Any, load: Load) -> None:
@@ -45,7 +45,7 @@
 
 
 def read_load(source: Any) -> Load:
-    """Return the load held by a reader."""
+    """Decode a ``Load`` reader."""
     (
         incarnation,
         running,
@@ -91,27 +91,27 @@
     return ModelState(frozenset(served), role, last_order)
 
 
-# News of the prefix cache
+# Updates of the prefix cache
 
 
-def write_news(target: Any, news: CacheNews) -> None:
-    """Fill a ``CacheNews`` builder."""
-    target.serial = news.serial
-    target.reset = news.reset
-    if news.stored:
-        target.stored = news.stored
-    if news.removed:
-        target.removed = news.removed
+def write_cache_update(target: Any, update: CacheUpdate) -> None:
+    """Fill a ``CacheUpdate`` builder."""
+    target.serial = update.serial
+    target.reset = update.reset
+    if update.stored:
+        target.stored = update.stored
+    if update.removed:
+        target.removed = update.removed
 
 
-_NEWS_SERIAL = fields_of(schema.CacheNews, "serial")
-_NEWS = fields_of(schema.CacheNews, "stored", "removed", "reset")
+_UPDATE_SERIAL = fields_of(schema.CacheNews, "serial")
+_UPDATE = fields_of(schema.CacheNews, "stored", "removed", "reset")
 
 
-def read_news(source: Any) -> CacheNews:
-    """Return the news held by a reader."""
-    (serial,) = read_fields(source, _NEWS_SERIAL)
+def read_cache_update(source: Any) -> CacheUpdate:
+    """Decode a ``CacheNews`` reader."""
+    (serial,) = read_fields(source, _UPDATE_SERIAL)
     if not serial:
-        return NO_NEWS
-    stored, removed, reset = read_fields(source, _NEWS)
-    return CacheNews(serial, tuple(stored), tuple(removed), reset)
+        return NO_CACHE_UPDATE
+    stored, removed, reset = read_fields(source, _UPDATE)
+    return CacheUpdate(serial, tuple(stored), tuple(removed), reset)
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -15,7 +15,7 @@
 from amaranthtally.policy import (
     CallKind,
     PieceFault,
-    PieceOrder,
+    PieceSpec,
     PieceStage,
     WeightedPool,
 )
@@ -60,15 +60,19 @@
 def test_a_route_is_decoded():
     (route,) = table_of(routes=[ROUTE]).routes
     assert route.kind is CallKind.STREAMING
-    assert (route.timeout_s, route.objective_s, route.pause_s) == (8.0, 1.8, 0.5)
+    assert (route.timeout_s, route.objective_s, route.max_event_gap_s) == (
+        8.0,
+        1.8,
+        0.5,
+    )
     assert route.targets == (WeightedPool("s", 90.0), WeightedPool("t", 10.0))
     assert route.stages == (PieceStage("p", (), 1.5e6),)
-    assert route.may_repeat
+    assert route.is_repeatable
 
 
-def test_a_streams_stall_timeout_is_the_longest_of_three_times():
+def test_a_streams_caller_timeout_is_the_longest_of_three_times():
     def patience_s(**fields):
-        return table_of(routes=[ROUTE | fields]).routes[0].patience_s
+        return table_of(routes=[ROUTE | fields]).routes[0].caller_timeout_s
 
     assert patience_s(latencySloMs=2300, itlTargetMs=500) == 9.2
     assert patience_s(latencySloMs=500, itlTargetMs=900) == 7.2
@@ -85,7 +89,7 @@
     }
     for (kind, resumable), expected in kinds.items():
         route = ROUTE | {"type": kind, "resumable": resumable}
-        assert table_of(routes=[route]).routes[0].may_repeat is expected
+        assert table_of(routes=[route]).routes[0].is_repeatable is expected
 
 
 def test_the_route_with_the_longest_matching_prefix_is_chosen():
@@ -100,7 +104,7 @@
 def test_piece_limits_are_decoded():
     limits = table_of(services=[SERVICE]).pools["p"].pieces
     assert (limits.batch, limits.memory_bytes, limits.result_ttl_s) == (8, 17.6e6, 4.0)
-    assert limits.full_call_s() == pytest.approx(0.37)
+    assert limits.full_call_time_s() == pytest.approx(0.37)
 
 
 def test_keys_identify_accounts_and_are_required_with_tenants():
@@ -152,7 +156,7 @@
 
 
 def test_a_restarted_endpoint_with_the_same_id_is_a_different_one():
-    assert not read_record().unwrap().stands_like(read_record(born=18).unwrap())
+    assert not read_record().unwrap().is_same_server(read_record(born=18).unwrap())
 
 
 @pytest.mark.parametrize(
@@ -247,8 +251,8 @@
 
 
 PIECES = (
-    PieceOrder("a", 0, 2, 10.9, "key"),
-    PieceOrder("b", 2, 0, 10.9, "", ("h1", "h2")),
+    PieceSpec("a", 0, 2, 10.9, "key"),
+    PieceSpec("b", 2, 0, 10.9, "", ("h1", "h2")),
 )
 
 
@@ -265,7 +269,7 @@
     body = b'{"entries":[{"handle":"h"},{"reason":"gone"}]}'
     outcomes = pieces.read_outcomes(body, PIECES).unwrap()
     assert outcomes[0].handle == "h"
-    assert outcomes[1].fault is PieceFault.INPUT_GONE
+    assert outcomes[1].fault is PieceFault.INPUT_MISSING
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"entries":[{"handle":"h"}]}', b"\xff"])
--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -14,7 +14,7 @@
     connect_sidecar,
     serve_sidecar,
 )
-from amaranthtally.wire.joiner import MAX_UNACKNOWLEDGED_CHARS, ChunkJoiner
+from amaranthtally.wire.chunk_batcher import MAX_UNACKNOWLEDGED_CHARS, ChunkBatcher
 from amaranthtally.wire.messages import StreamPart
 from amaranthtally.wire.streams import OpenStreams
 from tests.lifecycle.support import (
@@ -103,8 +103,11 @@
 
     async def scenario():
         entry = DelayedEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as first, joiner.open(2, call_id(2)) as second:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with (
+            batcher.open(1, call_id(1)) as first,
+            batcher.open(2, call_id(2)) as second,
+        ):
             await first.put(3, "a")
             await run_ready()
             await first.put(4, "b")
@@ -126,8 +129,8 @@
 
     async def scenario():
         entry = DelayedEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as chunks:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with batcher.open(1, call_id(1)) as chunks:
             await chunks.put(0, "a")
             await run_ready()
             await chunks.put(1, "b")
@@ -152,24 +155,24 @@
         entry = DelayedEntry()
         if acknowledges:
             entry.acknowledge.set()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
         size = MAX_UNACKNOWLEDGED_CHARS // 4
 
         async def produce():
-            with joiner.open(1, call_id(1)) as chunks:
+            with batcher.open(1, call_id(1)) as chunks:
                 for offset in range(100):
                     await chunks.put(offset, "x" * size)
 
         producing = asyncio.create_task(produce())
         await run_ready()
         assert not producing.done()
-        held = sum(map(len, [t for p in joiner._held.values() for t in p.texts]))
+        held = sum(map(len, [t for p in batcher._pending.values() for t in p.texts]))
         sent = sum(len(t) for parts in entry.received for _, _, ts in parts for t in ts)
         pending = held if acknowledges else held + sent
         assert pending <= MAX_UNACKNOWLEDGED_CHARS + size
         # Closing the connection must unblock the producer, or it would occupy its slot
         # at the engine for ever.
-        joiner.close()
+        batcher.close()
         await producing
 
     run_async(scenario())
@@ -183,13 +186,13 @@
 
     async def scenario():
         entry = DelayedEntry()
-        joiner = ChunkJoiner(entry.send, hold_s=FOREVER_S)
-        with joiner.open(1, call_id(1)) as cancelled:
+        batcher = ChunkBatcher(entry.send, interval_s=FOREVER_S)
+        with batcher.open(1, call_id(1)) as cancelled:
             await cancelled.put(0, "a")
             await run_ready()
             await cancelled.put(1, "b")
         await cancelled.put(2, "c")
-        with joiner.open(2, call_id(2)) as chunks:
+        with batcher.open(2, call_id(2)) as chunks:
             await chunks.put(0, "x")
             await run_ready()
         assert entry.received == [[(1, 0, ("a",))], [(2, 0, ("x",))]]
@@ -217,12 +220,12 @@
         streams.open(call_id(2), handler) as second,
         streams.open(call_id(3), handler) as third,
     ):
-        streams.take(StreamPart(first.number, call_id(1), 0, ["a"]))
-        streams.take(StreamPart(second.number, call_id(1), 0, ["b"]))
-        streams.take(StreamPart(third.number, call_id(3), 0, ["c"]))
-        streams.take(StreamPart(99, call_id(4), 0, ["d"]))
+        streams.receive(StreamPart(first.number, call_id(1), 0, ["a"]))
+        streams.receive(StreamPart(second.number, call_id(1), 0, ["b"]))
+        streams.receive(StreamPart(third.number, call_id(3), 0, ["c"]))
+        streams.receive(StreamPart(99, call_id(4), 0, ["d"]))
         assert received == [(0, "c")]
-        with pytest.raises(Exception, match="could not be taken"):
+        with pytest.raises(Exception, match="handler of a chunk"):
             first.check()
         with pytest.raises(ReplyMismatchError):
             second.check()
--- a/tests/unit/test_document_fetcher.py
+++ b/tests/unit/test_document_fetcher.py
@@ -7,7 +7,7 @@
 from amaranthtally.daemon.gateway.version_gossip import VersionGossip
 from amaranthtally.wire import PeerLostError
 from amaranthtally.wire.documents import Document, DocumentSnapshots
-from amaranthtally.wire.gateway_codec import Greeting, Versions
+from amaranthtally.wire.gateway_codec import GatewayStatus, Versions
 from tests.support import run_async
 
 CONTENT = random.Random(7).randbytes(100_000)
@@ -57,7 +57,7 @@
         self.max_concurrent = max(self.max_concurrent, self.concurrent)
         await asyncio.sleep(0.001)
         self.concurrent -= 1
-        return self.snapshots[request.document].part(request)
+        return self.snapshots[request.document].read_part(request)
 
 
 def test_one_fetch_runs_at_a_time_however_many_peers_have_newer_documents():
@@ -166,9 +166,9 @@
     class FakeGossipConnections:
         exchanges = 0
 
-        async def exchange_versions(self, peer, versions):
+        async def exchange_status(self, peer, versions):
             self.exchanges += 1
-            return Greeting(NEWER)
+            return GatewayStatus(NEWER)
 
     async def check():
         connections, holder, fetched = FakeGossipConnections(), FakeHolder(), []
