--- /dev/null
+++ b/tests/unit/test_configuration_tracker.py
@@ -0,0 +1,50 @@
+"""Tracking of the configuration that a gateway has in force."""
+
+import json
+
+from amaranthtally.daemon.gateway import configuration_tracker
+from amaranthtally.daemon.gateway.configuration_tracker import ConfigurationTracker
+from tests.gateway.support import configuration, route
+from tests.support import run_async
+
+
+def document(version):
+    return json.dumps(configuration(version, route("work"))).encode()
+
+
+def test_the_document_in_force_is_not_decoded_again(monkeypatch):
+    """Guards against an event loop that is blocked by decoding the same document."""
+    decoded = []
+    original = configuration_tracker.read_configuration
+
+    def counting(value):
+        decoded.append(value)
+        return original(value)
+
+    monkeypatch.setattr(configuration_tracker, "read_configuration", counting)
+
+    async def check():
+        tables = []
+        tracker = ConfigurationTracker(tables.append)
+        for _ in range(5):
+            tracker.apply(document(3), "store")
+        assert len(tables) == len(decoded) == 1
+
+    run_async(check())
+
+
+def test_a_gateway_is_behind_since_the_first_newer_version_became_known():
+    async def check():
+        tracker = ConfigurationTracker(lambda table: None)
+        tracker.apply(document(3), "store")
+        assert tracker.behind_s == 0.0
+        tracker.note_version(5, "a-peer")
+        first_s = tracker.behind_s
+        tracker.note_version(7, "a-peer")
+        tracker.apply(document(5), "store")
+        assert tracker.newest_known == 7
+        assert tracker.behind_s >= first_s
+        tracker.apply(document(7), "store")
+        assert tracker.behind_s == 0.0
+
+    run_async(check())
