--- a/packages/policy/src/amaranthtally/policy/affinity.py
+++ b/packages/policy/src/amaranthtally/policy/affinity.py
@@ -78,8 +78,8 @@
         best: Choice | None = None
         for load in usable:
             rank = ranks[load.endpoint.id]
-            known = cached_shares.get(load.endpoint.id, 0.0)
-            share = known if rank else max(known, first_rank_share)
+            indexed_share = cached_shares.get(load.endpoint.id, 0.0)
+            share = indexed_share if rank else max(indexed_share, first_rank_share)
             penalty_s = RANK_PENALTY_S * rank
             choice = self._predict(now, request, stats, load, share, penalty_s)
             if best is None or choice.score < best.score:
--- a/packages/policy/src/amaranthtally/policy/ejection.py
+++ b/packages/policy/src/amaranthtally/policy/ejection.py
@@ -65,7 +65,7 @@
 
     def succeeded(self, endpoint: str) -> None:
         """
-        Readmit an ejected endpoint, or reset the failures of another one.
+        Readmit an ejected endpoint, or clear the failures of one that is not ejected.
 
         A readmitted endpoint keeps all but one of its failures, so that a single
         failure ejects it again, for twice as long.
--- a/packages/policy/src/amaranthtally/policy/groups.py
+++ b/packages/policy/src/amaranthtally/policy/groups.py
@@ -40,9 +40,9 @@
         for endpoint in endpoints.values():
             if endpoint.takes_calls:
                 self._by_pool.setdefault(endpoint.pool, []).append(endpoint)
-        old = self._groups
+        old_groups = self._groups
         self._groups = {}
-        for key, regions in old.items():
+        for key, regions in old_groups.items():
             members = {e.id for group in regions.values() for e in group}
             self._groups[key] = self._build(key, members)
         return True
--- a/packages/policy/src/amaranthtally/policy/outcome_recorder.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -38,8 +38,9 @@
         """
         Add the run times of attempts that are still running at the deadline.
 
-        These runs never report their end. Without their times so far, a stage that has
-        become slower than any deadline would keep its earlier, shorter run times.
+        These attempts are cancelled, so that no result reports their run times. Without
+        them, a stage that has become slower than any deadline would keep its earlier,
+        shorter run times.
         """
         stats = self._times.of(request.current)
         for attempt in request.live.values():
--- a/packages/policy/src/amaranthtally/policy/routing.py
+++ b/packages/policy/src/amaranthtally/policy/routing.py
@@ -60,18 +60,18 @@
     def configure(
         self, region: str, remote_latency_s: float, price_per_gb: float
     ) -> None:
-        """Set the region, the one-way latency to others in seconds, and the price."""
+        """Set the entry's region, one-way latency in seconds and price of traffic."""
         self._region = region
         self._remote_latency_s = remote_latency_s
         self._network = NetworkCosts(region, price_per_gb, self.round_trip_s)
 
     def round_trip_s(self, region: str) -> float:
         """Return the smoothed round-trip time to a region, in seconds."""
-        known = self._round_trip_s.get(region)
-        if known is not None:
-            return known
-        local = region == self._region
-        return 2 * (LOCAL_LATENCY_S if local else self._remote_latency_s)
+        smoothed_s = self._round_trip_s.get(region)
+        if smoothed_s is not None:
+            return smoothed_s
+        is_local = region == self._region
+        return 2 * (LOCAL_LATENCY_S if is_local else self._remote_latency_s)
 
     def note_round_trip(self, region: str, seconds: float) -> None:
         """Add the network time of an attempt to the smoothed round-trip time."""
--- a/tests/policy/test_model_orders.py
+++ b/tests/policy/test_model_orders.py
@@ -102,11 +102,13 @@
 
 
 def test_the_orders_of_one_step_are_bounded():
-    many = tuple(f"m{number}" for number in range(20))
-    assert len(step(DesiredModels(many), engine()).orders) == MAX_ORDERS
-    current = engine(NEW, *many)
+    models = tuple(f"m{number}" for number in range(20))
+    assert len(step(DesiredModels(models), engine()).orders) == MAX_ORDERS
+    current = engine(NEW, *models)
     usage = ModelUsage(
-        idle_s=dict.fromkeys(many, UNLOAD_AFTER_S), retired=frozenset(many), running={}
+        idle_s=dict.fromkeys(models, UNLOAD_AFTER_S),
+        retired=frozenset(models),
+        running={},
     )
     assert len(step(DesiredModels((NEW,)), current, usage).orders) == MAX_ORDERS
 
--- a/tests/policy/test_models.py
+++ b/tests/policy/test_models.py
@@ -17,8 +17,8 @@
 
 def test_an_endpoint_without_the_model_is_skipped_and_polled():
     """
-    If requests were sent to an engine that is still loading a version, half of them
-    would be refused with two engines. If it was not polled, it would stay idle for
+    While one engine of two is loading a version, half of the requests would be refused
+    if they were sent to both. If that engine was not polled, it would stay idle for
     ever: it gets no calls, so that no reply would report the version as loaded.
     """
     pair = {
--- a/tests/policy/test_peer_directory.py
+++ b/tests/policy/test_peer_directory.py
@@ -4,14 +4,14 @@
 
 from amaranthtally.policy import PeerDirectory, PeerRecord
 
-ONE = PeerRecord("10.0.0.1:1", "cluj-a")
-TWO = PeerRecord("10.0.0.2:1", "iasi-a")
+RECORD_ONE = PeerRecord("10.0.0.1:1", "cluj-a")
+RECORD_TWO = PeerRecord("10.0.0.2:1", "iasi-a")
 
 
 @pytest.fixture
 def directory():
     peers = PeerDirectory()
-    peers.replace(0.0, {"one": ONE, "two": TWO})
+    peers.replace(0.0, {"one": RECORD_ONE, "two": RECORD_TWO})
     return peers
 
 
@@ -27,7 +27,7 @@
         assert set(directory.alive) == {"one", "two"}
         assert directory.unconfirmed == ("one",)
         directory.note_alive(now, "one")
-    directory.put("one", ONE)
+    directory.put("one", RECORD_ONE)
     assert directory.unconfirmed == ()
     assert not directory.expire(60.0)
 
@@ -52,7 +52,7 @@
     """
     directory.records_removed(10.0, ["one"])
     directory.note_left(10.1, "one")
-    assert directory.addresses["one"] == ONE.address
+    assert directory.addresses["one"] == RECORD_ONE.address
     directory.expire(20.0)
     assert "one" in directory.addresses
     directory.expire(45.0)
@@ -87,7 +87,7 @@
     assert not directory.note_greeting(2.0, "three", three)
     assert directory.alive["three"] == three
     assert directory.addresses["three"] == three.address
-    assert not directory.note_greeting(2.0, "one", ONE)
+    assert not directory.note_greeting(2.0, "one", RECORD_ONE)
     assert directory.expire(5.1)
     assert "three" not in directory.alive
 
--- a/tests/prefixes/test_cache_updates.py
+++ b/tests/prefixes/test_cache_updates.py
@@ -32,13 +32,13 @@
         self.follower = CacheFollower()
         self.prefixes = PrefixIndex()
 
-    def reply(self, incarnation=1, heard=None):
-        """Transfer a call with the serial ``heard``, and its reply."""
-        if heard is None:
-            heard = self.follower.heard("engine")
-        self.take(self.cache_index.update_since(heard), incarnation)
+    def reply(self, incarnation=1, serial=None):
+        """Transfer a call with the last serial that the entry knows, and its reply."""
+        if serial is None:
+            serial = self.follower.heard("engine")
+        self.apply(self.cache_index.update_since(serial), incarnation)
 
-    def take(self, update, incarnation=1):
+    def apply(self, update, incarnation=1):
         """Apply the cache update of a reply."""
         event = self.follower.take("engine", incarnation, update)
         if event is not None:
@@ -49,13 +49,13 @@
         return [block for block in BLOCKS if self.prefixes.matches(0.0, (block,))]
 
 
-def stored(*serials):
+def stored_events(*serials):
     return [EngineEvent(serial, True, NAMES[serial - 1]) for serial in serials]
 
 
 def test_an_entry_receives_stored_and_removed_blocks():
     link = CacheUpdateLink()
-    link.cache_index.apply_events("first", stored(1, 2, 3))
+    link.cache_index.apply_events("first", stored_events(1, 2, 3))
     link.reply()
     assert link.known_blocks() == [1, 2, 3]
     link.cache_index.apply_events("first", [EngineEvent(4, False, NAMES[1])])
@@ -70,9 +70,9 @@
     another engine is idle.
     """
     link = CacheUpdateLink()
-    link.cache_index.apply_events("first", stored(1, 2))
+    link.cache_index.apply_events("first", stored_events(1, 2))
     link.reply()
-    link.cache_index.apply_events("first", stored(4))
+    link.cache_index.apply_events("first", stored_events(4))
     assert link.known_blocks() == [1, 2]
     link.reply()
     assert link.known_blocks() == [4]
@@ -84,12 +84,12 @@
     while its sidecar keeps running. The next reply must clear the blocks in the entry.
     """
     link = CacheUpdateLink()
-    link.cache_index.apply_events("first", stored(1, 2, 3))
+    link.cache_index.apply_events("first", stored_events(1, 2, 3))
     link.reply()
     link.cache_index.apply_events("second", [])
     link.reply()
     assert link.known_blocks() == []
-    link.cache_index.apply_events("second", stored(1))
+    link.cache_index.apply_events("second", stored_events(1))
     link.reply()
     assert link.known_blocks() == [1]
 
@@ -100,11 +100,11 @@
     new serials with the old ones would keep the old blocks until they expire.
     """
     link = CacheUpdateLink()
-    link.cache_index.apply_events("first", stored(1, 2, 3))
+    link.cache_index.apply_events("first", stored_events(1, 2, 3))
     link.reply()
     link.cache_index = PrefixCacheIndex()
     link.cache_index.record_prompt(NAMES, BLOCKS)
-    link.cache_index.apply_events("first", stored(1))
+    link.cache_index.apply_events("first", stored_events(1))
     link.reply(incarnation=2)
     assert link.known_blocks() == [1]
 
@@ -115,11 +115,11 @@
     the older update, must not add a removed block again.
     """
     link = CacheUpdateLink()
-    link.cache_index.apply_events("first", stored(1, 2))
+    link.cache_index.apply_events("first", stored_events(1, 2))
     earlier = link.cache_index.update_since(0)
     link.cache_index.apply_events("first", [EngineEvent(3, False, NAMES[0])])
-    link.take(link.cache_index.update_since(0))
-    link.take(earlier)
+    link.apply(link.cache_index.update_since(0))
+    link.apply(earlier)
     assert link.known_blocks() == [2]
 
 
@@ -141,11 +141,11 @@
     With shared blocks, the time to the first token would reveal to a caller that
     another account has sent the same text.
     """
-    one = prefix_blocks(cache_salt("one"), TEXT, 32)
-    two = prefix_blocks(cache_salt("two"), TEXT, 32)
-    assert one
-    assert not set(one) & set(two)
-    assert prefix_blocks(cache_salt("one"), TEXT + TEXT, 32)[: len(one)] == one
+    first = prefix_blocks(cache_salt("one"), TEXT, 32)
+    second = prefix_blocks(cache_salt("two"), TEXT, 32)
+    assert first
+    assert not set(first) & set(second)
+    assert prefix_blocks(cache_salt("one"), TEXT + TEXT, 32)[: len(first)] == first
     assert len(prefix_blocks(cache_salt("one"), TEXT * 50, 32)) == 32
 
 
