--- a/packages/policy/src/amaranthtally/policy/pool_loads.py
+++ b/packages/policy/src/amaranthtally/policy/pool_loads.py
@@ -83,8 +83,8 @@
 
         Reports count only the calls at the endpoints, while most requests of a
         beginning burst are still in earlier stages. Other entries are assumed to have
-        the same ratio of pending requests to calls at the endpoints as this one, limited
-        to between 1 and ``MAX_UPSTREAM_RATIO``.
+        the same ratio of pending requests to calls at the endpoints as this one,
+        limited to between 1 and ``MAX_UPSTREAM_RATIO``.
         """
         if not self.capacity:
             return 0.0
