--- a/packages/policy/src/amaranthtally/policy/result_releaser.py
+++ b/packages/policy/src/amaranthtally/policy/result_releaser.py
@@ -1,4 +1,4 @@
-"""Frees stored results that are not needed any more, in whichever data centre."""
+"""Frees stored results that are not needed any more, in any data centre."""
 
 from collections.abc import Iterable
 
--- a/packages/policy/src/amaranthtally/policy/submitted_pieces.py
+++ b/packages/policy/src/amaranthtally/policy/submitted_pieces.py
@@ -1,4 +1,4 @@
-"""The pieces that an entry has submitted and that no report has come for yet."""
+"""The pieces that an entry has submitted and that have not been reported yet."""
 
 from math import inf
 from typing import NamedTuple
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -279,7 +279,7 @@
 # Freeing of inputs
 
 
-INPUT = StoredResult("in", "maker", CLUJ, 60e3)
+INPUT = StoredResult("in", "endpoint", CLUJ, 60e3)
 
 
 def job_with_input(name, number=0, siblings=1, **options):
--- a/tests/policy/test_caller_departures.py
+++ b/tests/policy/test_caller_departures.py
@@ -63,7 +63,7 @@
 
 
 def test_a_piece_is_not_computed_once_its_caller_will_have_left():
-    """A piece's deadline is not after the time at which its caller leaves."""
+    """If the endpoint hangs, its queued pieces are dropped when the caller leaves."""
     stuck = driver()
     arrive(stuck, caller_timeout_at=NOW + CALLER_TIMEOUT_S)
     (call,) = [a for a in stuck.planner.tick(NOW + 0.1) if isinstance(a, RunPieces)]
@@ -92,8 +92,8 @@
     arrive(slow, now)
     (call,) = [a for a in slow.planner.tick(now + 0.1) if isinstance(a, RunPieces)]
     late = now + DEADLINE_S - 0.5 * engine_s
-    made = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
-    (refusal,) = refusals(slow.planner.pieces_ended(late, call.call, made))
+    end = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
+    (refusal,) = refusals(slow.planner.pieces_ended(late, call.call, end))
     assert (refusal.reason, refusal.outcome) == (
         RefusalReason.OVERLOAD,
         RequestOutcome.NOT_RUN,
--- a/tests/policy/test_piece_graph.py
+++ b/tests/policy/test_piece_graph.py
@@ -6,7 +6,7 @@
 
 
 def stored(piece):
-    return StoredResult(f"h{piece.stage}.{piece.number}", "maker", "cluj-a", 1.0)
+    return StoredResult(f"h{piece.stage}.{piece.number}", "endpoint", "cluj-a", 1.0)
 
 
 def complete_due(graph):
--- a/tests/policy/test_pool_sites.py
+++ b/tests/policy/test_pool_sites.py
@@ -6,7 +6,9 @@
 from amaranthtally.policy.pool_sites import PoolSites
 from tests.policy.pieces import CLUJ, IASI, endpoint
 
-PEERS = [Peer(f"entry-{place}-{n}", place) for place in (CLUJ, IASI) for n in range(3)]
+PEERS = [
+    Peer(f"entry-{centre}-{n}", centre) for centre in (CLUJ, IASI) for n in range(3)
+]
 NOW = 1.0
 
 
@@ -128,7 +130,7 @@
 
 
 def test_waits_are_recorded_by_rank():
-    """Urgent requests avoided a site where they would overtake all queued pieces."""
+    """Urgent requests waited at one site while another would let them go first."""
     sites = sites_of(PEERS[0])
     sites.update_wait(NOW, "roster", CLUJ, 2.0, rank=2)
     assert sites.best_data_centre(NOW, "roster", CANDIDATES, rank=1) == CLUJ
--- a/tests/policy/test_request_inputs.py
+++ b/tests/policy/test_request_inputs.py
@@ -21,8 +21,8 @@
     work = PieceWork((PieceStage("catalogue", (), 8e3),), (1,), "key")
     driver.arrive(NOW - 0.5, piece_work=work)
     (call,) = [a for a in driver.planner.tick(NOW - 0.4) if isinstance(a, RunPieces)]
-    made = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
-    (send,) = sends(driver.take(driver.planner.pieces_ended(NOW, call.call, made)))
+    end = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
+    (send,) = sends(driver.take(driver.planner.pieces_ended(NOW, call.call, end)))
     return send
 
 
