--- a/packages/daemon/src/amaranthtally/daemon/entry/attempts.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/attempts.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 from typing import Protocol
 
-from amaranthtally.daemon.entry.cache_news import CacheFollower
-from amaranthtally.daemon.entry.inquiries import Inquirer
+from amaranthtally.daemon.entry.cache_updates import CacheUpdateTracker
 from amaranthtally.daemon.entry.live_request import LiveRequest
 from amaranthtally.daemon.entry.metrics import EntryMetrics
-from amaranthtally.daemon.entry.peers import Peers
+from amaranthtally.daemon.entry.outcome_queries import OutcomeQuerier
+from amaranthtally.daemon.entry.sidecar_connections import Peers
 from amaranthtally.daemon.entry.stage_calls import (
     build_call,
     read_reply,
@@ -52,7 +52,7 @@
         self,
         listener: AttemptListener,
         peers: Peers,
-        inquirer: Inquirer,
+        inquirer: OutcomeQuerier,
         metrics: EntryMetrics,
         region: str,
     ) -> None:
@@ -61,7 +61,7 @@
         self._inquirer = inquirer
         self._metrics = metrics
         self._region = region
-        self._cache_news = CacheFollower()
+        self._cache_news = CacheUpdateTracker()
         self._loop = asyncio.get_running_loop()
 
     async def run(
@@ -92,7 +92,7 @@
             revision,
             remaining_s,
             expires_s=self._inquirer.expiry(endpoint.id, remaining_s),
-            cache_serial=self._cache_news.heard(endpoint.id),
+            cache_serial=self._cache_news.last_serial(endpoint.id),
         )
 
         def on_chunks(offset: int, texts: Sequence[str]) -> None:
@@ -168,7 +168,7 @@
         if not reply.cache.serial:
             return
         incarnation = reply.load.incarnation
-        event = self._cache_news.take(endpoint.id, incarnation, reply.cache)
+        event = self._cache_news.apply(endpoint.id, incarnation, reply.cache)
         if event is not None:
             self._listener.cache_heard(endpoint.id, event)
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/binder.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/binder.py
@@ -11,9 +11,9 @@
     effect_stages,
     fingerprint_of,
 )
-from amaranthtally.daemon.entry.claims import Claims, claim_path
-from amaranthtally.daemon.entry.inquiries import Inquirer
+from amaranthtally.daemon.entry.claims import ClaimStore, claim_path
 from amaranthtally.daemon.entry.outage import LONG_OUTAGE_S
+from amaranthtally.daemon.entry.outcome_queries import OutcomeQuerier
 from amaranthtally.daemon.entry.problems import Problem
 from amaranthtally.daemon.entry.tokens import TokenSigner, is_token, new_token
 from amaranthtally.daemon.logs import get_logger
@@ -49,7 +49,11 @@
     """Finds or makes the bindings of a request."""
 
     def __init__(
-        self, region: str, claims: Claims, signer: TokenSigner, inquirer: Inquirer
+        self,
+        region: str,
+        claims: ClaimStore,
+        signer: TokenSigner,
+        inquirer: OutcomeQuerier,
     ) -> None:
         self._region = region
         self._claims = claims
@@ -79,15 +83,15 @@
     async def _bind(self, request: EffectRequest) -> BoundRequest | Problem:
         if is_token(request.key):
             bound: BoundRequest | Problem = self._read_token(request)
-            fresh = False
+            is_new = False
         else:
-            bound, fresh = await self._claim(request)
+            bound, is_new = await self._claim(request)
         if isinstance(bound, Problem):
             return bound
         labels = effect_stages(request.pipeline)
         if labels.keys() != bound.bindings.keys():
             return _PIPELINE_CHANGED
-        return bound if fresh else await self._look(bound)
+        return bound if is_new else await self._look(bound)
 
     # Ways to a binding
 
@@ -129,7 +133,7 @@
             fingerprint,
             {binding.stage: binding for binding in claim.bindings},
         )
-        return bound, claimed.ok_value.fresh
+        return bound, claimed.ok_value.is_new
 
     async def _new_bindings(self, pipeline: Pipeline) -> list[Binding] | Problem:
         stages = effect_stages(pipeline)
--- a/packages/daemon/src/amaranthtally/daemon/entry/cache_news.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/cache_updates.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy import CacheEvent
 from amaranthtally.wire import CacheUpdate
 
-__all__ = ["CacheFollower"]
+__all__ = ["CacheUpdateTracker"]
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
     events: int = 0
 
 
-class CacheFollower:
+class CacheUpdateTracker:
     """
     How far each sidecar's news has been heard.
 
@@ -27,12 +27,12 @@
     def __init__(self) -> None:
         self._heard: dict[str, _Heard] = {}
 
-    def heard(self, endpoint: str) -> int:
+    def last_serial(self, endpoint: str) -> int:
         """Return the serial up to which an endpoint's news is known here."""
         heard = self._heard.get(endpoint)
         return heard.serial if heard else 0
 
-    def take(
+    def apply(
         self, endpoint: str, incarnation: int, news: CacheUpdate
     ) -> CacheEvent | None:
         """
--- a/packages/daemon/src/amaranthtally/daemon/entry/change_store.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/change_store.py
@@ -21,7 +21,7 @@
 )
 from amaranthtally.settings import Change, decode_change, encode_change
 
-__all__ = ["BLOCK", "ChangeStore", "HeadRead", "block_prefix"]
+__all__ = ["BLOCK", "ChangeStore", "LogHead", "block_prefix"]
 
 HEAD_KEY = "head"
 CHANGE_PREFIX = "changes/"
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadRead:
+class LogHead:
     """The newest change's number; ``change`` is left out where it is large."""
 
     index: int
@@ -56,14 +56,14 @@
 
     # Head
 
-    async def read_head(self) -> Result[HeadRead, PlatformError]:
+    async def read_head(self) -> Result[LogHead, PlatformError]:
         """Read the head at once."""
         found = await self._platform.get(HEAD_KEY)
         return found.map(lambda entry: _head_read(entry, 0))
 
     async def watch_head(
         self, index: int, wait_s: float
-    ) -> Result[HeadRead, PlatformError]:
+    ) -> Result[LogHead, PlatformError]:
         """Read the head once it has changed after ``index``."""
         found = await self._platform.watch(HEAD_KEY, index, wait_s)
         return found.map(
@@ -71,7 +71,7 @@
         )
 
     async def advance_head(
-        self, change: Change, seen: HeadRead
+        self, change: Change, seen: LogHead
     ) -> Result[None, PlatformError]:
         """Make the head name ``change`` or a later one."""
         data = _head_bytes(change)
@@ -145,11 +145,11 @@
     return f"{CHANGE_PREFIX}{number:0{NUMBER_WIDTH}}"
 
 
-def _head_read(entry: KeyValueEntry | None, index: int) -> HeadRead:
+def _head_read(entry: KeyValueEntry | None, index: int) -> LogHead:
     if entry is None:
-        return HeadRead(index)
+        return LogHead(index)
     head = msgspec.json.decode(entry.value, type=_Head)
-    return HeadRead(entry.index, head.number, head.change)
+    return LogHead(entry.index, head.number, head.change)
 
 
 def _head_bytes(change: Change) -> bytes:
--- a/packages/daemon/src/amaranthtally/daemon/entry/claims.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/claims.py
@@ -13,7 +13,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from amaranthtally.daemon.entry.outage import OutageWatch
+from amaranthtally.daemon.entry.outage import OutageDetector
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.platform import KeyValueClient, PlatformError, PlatformUnavailable
 from amaranthtally.policy.at_most_once import Binding
@@ -22,8 +22,8 @@
     "CLAIM_PREFIX",
     "SHARD_DIGITS",
     "Claim",
-    "Claims",
-    "FoundClaim",
+    "ClaimStore",
+    "ClaimResult",
     "claim_path",
 ]
 
@@ -52,19 +52,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FoundClaim:
-    """The claim that holds; ``fresh`` where this very request made it."""
+class ClaimResult:
+    """The claim that holds; ``is_new`` where this very request made it."""
 
     claim: Claim
-    fresh: bool
+    is_new: bool
 
 
-class Claims:
+class ClaimStore:
     """Makes claims; one write for a new key, a write and a read for a repeat."""
 
     def __init__(self, platform: KeyValueClient) -> None:
         self._platform = platform
-        self._outage = OutageWatch()
+        self._outage = OutageDetector()
         self._loop = asyncio.get_running_loop()
 
     async def claim(
@@ -73,7 +73,7 @@
         fingerprint: str,
         bindings: list[Binding],
         patience_s: float = 0.0,
-    ) -> Result[FoundClaim, PlatformError]:
+    ) -> Result[ClaimResult, PlatformError]:
         """
         Claim a key, or return whose claim came first.
 
@@ -87,12 +87,12 @@
             async with asyncio.timeout(limit_s):
                 return await self._settle_in(path, fingerprint, bindings, patience_s)
         except TimeoutError:
-            self._outage.failed(self._loop.time())
+            self._outage.note_failure(self._loop.time())
             return Err(PlatformUnavailable(f"no answer in {limit_s} s"))
 
     async def _settle_in(
         self, path: str, fingerprint: str, bindings: list[Binding], patience_s: float
-    ) -> Result[FoundClaim, PlatformError]:
+    ) -> Result[ClaimResult, PlatformError]:
         claim_id = secrets.token_hex(ID_BYTES)
         until = self._loop.time() + patience_s
         pause = FIRST_PAUSE_S
@@ -100,9 +100,9 @@
             found = await self._settle(path, claim_id, fingerprint, bindings)
             now = self._loop.time()
             if isinstance(found, Ok):
-                self._outage.succeeded()
+                self._outage.note_success()
                 return found
-            self._outage.failed(now)
+            self._outage.note_failure(now)
             if now + pause > until:
                 return found
             log.info("claim_put_off", cause=str(found.err_value))
@@ -113,7 +113,7 @@
 
     async def _settle(
         self, path: str, claim_id: str, fingerprint: str, bindings: list[Binding]
-    ) -> Result[FoundClaim, PlatformError]:
+    ) -> Result[ClaimResult, PlatformError]:
         # A claim stamped by a host whose clock is behind would be removed while its
         # caller still repeats the key, and the repeat would run a second time.
         claimed_at = self._platform.platform_time_s
@@ -125,13 +125,15 @@
         if claimed_at is None:
             return Err(PlatformUnavailable("its answers have no Date"))
         wanted = Claim(claim_id, fingerprint, bindings, round(claimed_at))
-        found: Result[FoundClaim, PlatformError] = Err(PlatformUnavailable("not tried"))
+        found: Result[ClaimResult, PlatformError] = Err(
+            PlatformUnavailable("not tried")
+        )
         for _ in range(TRIES):
             written = await self._platform.compare_and_swap(
                 path, msgspec.json.encode(wanted), 0
             )
             if isinstance(written, Ok) and written.ok_value:
-                return Ok(FoundClaim(wanted, fresh=True))
+                return Ok(ClaimResult(wanted, is_new=True))
             if isinstance(written, Err) and isinstance(
                 written.err_value, PlatformUnavailable
             ):
@@ -144,7 +146,7 @@
                 return read
             if read.ok_value is not None:
                 stored = read.ok_value
-                return Ok(FoundClaim(stored, fresh=stored.id == wanted.id))
+                return Ok(ClaimResult(stored, is_new=stored.id == wanted.id))
             found = Err(PlatformUnavailable("the claim's answers were lost"))
         return found
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/committer.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/committer.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from amaranthtally.daemon.entry.change_store import BLOCK, ChangeStore, HeadRead
+from amaranthtally.daemon.entry.change_store import BLOCK, ChangeStore, LogHead
 from amaranthtally.daemon.entry.log_follower import LogFollower
 from amaranthtally.daemon.entry.snapshots import SnapshotStore
 from amaranthtally.daemon.logs import get_logger
@@ -154,7 +154,7 @@
 
     # One try
 
-    async def _read_newest(self) -> Result[HeadRead, PlatformError]:
+    async def _read_newest(self) -> Result[LogHead, PlatformError]:
         """
         Read the head and catch up with it.
 
@@ -170,7 +170,7 @@
         return caught_up if isinstance(caught_up, Err) else read
 
     async def _try(
-        self, proposal: Proposal, base: int, head: HeadRead
+        self, proposal: Proposal, base: int, head: LogHead
     ) -> Result[Change | None, CommitError]:
         """Return the change, or ``Ok(None)`` when another one took the number."""
         known = self._known(proposal.id)
@@ -236,7 +236,7 @@
 
     # After the commit
 
-    async def _name_in_head(self, change: Change, head: HeadRead) -> None:
+    async def _name_in_head(self, change: Change, head: LogHead) -> None:
         advanced = await self._changes.advance_head(change, head)
         if isinstance(advanced, Err):
             self._spawn(self._name_later(change))
--- a/packages/daemon/src/amaranthtally/daemon/entry/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/executor.py
@@ -7,10 +7,10 @@
 
 from amaranthtally.daemon.decision_loop import DecisionLoop
 from amaranthtally.daemon.entry.attempts import Attempts
-from amaranthtally.daemon.entry.inquiries import Inquirer, load_report
 from amaranthtally.daemon.entry.live_request import LiveRequest
 from amaranthtally.daemon.entry.metrics import EntryMetrics
-from amaranthtally.daemon.entry.peers import Peers
+from amaranthtally.daemon.entry.outcome_queries import OutcomeQuerier, load_report
+from amaranthtally.daemon.entry.sidecar_connections import Peers
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.policy import (
     Answer,
@@ -50,7 +50,7 @@
         self._revision = settings.revision
         self._requests: dict[str, LiveRequest] = {}
         self._peers: Peers | None = None
-        self._inquirer: Inquirer | None = None
+        self._inquirer: OutcomeQuerier | None = None
         self._attempts: Attempts | None = None
         self._giving_up: set[asyncio.Task[None]] = set()
         self._loop = asyncio.get_running_loop()
@@ -76,7 +76,7 @@
         """Registered endpoints by id."""
         return self._endpoints
 
-    def connect(self, peers: Peers, inquirer: Inquirer) -> None:
+    def connect(self, peers: Peers, inquirer: OutcomeQuerier) -> None:
         """Use these connections."""
         self._peers = peers
         self._inquirer = inquirer
--- a/packages/daemon/src/amaranthtally/daemon/entry/host_watch.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/host_watch.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from amaranthtally.daemon.entry.membership import Membership
-from amaranthtally.daemon.entry.peers import Peers
+from amaranthtally.daemon.entry.sidecar_connections import Peers
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.platform import HostList
 from amaranthtally.policy import Endpoint
--- a/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
@@ -6,7 +6,7 @@
 from aioprometheus import Gauge
 from result import Err, Ok, Result
 
-from amaranthtally.daemon.entry.change_store import BLOCK, ChangeStore, HeadRead
+from amaranthtally.daemon.entry.change_store import BLOCK, ChangeStore, LogHead
 from amaranthtally.daemon.entry.snapshots import SnapshotStore
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.daemon.settings_state import SettingsState
@@ -49,7 +49,7 @@
 
     async def follow(self) -> None:
         """Read the log, then watch its head, for as long as the process lives."""
-        seen = HeadRead(0)
+        seen = LogHead(0)
         pause = RETRY_MIN_S
         while True:
             step = await self._step(seen)
@@ -65,7 +65,7 @@
             if isinstance(step, Err):
                 pause = min(RETRY_MAX_S, pause * 2)
 
-    async def catch_up(self, head: HeadRead) -> Result[None, PlatformError]:
+    async def catch_up(self, head: LogHead) -> Result[None, PlatformError]:
         """Take every change up to the head."""
         revision = self._state.revision
         if head.number <= revision:
@@ -85,7 +85,7 @@
         self._state.take(changes.ok_value, SOURCE)
         return Ok(None)
 
-    def note(self, step: Result[HeadRead, PlatformError]) -> None:
+    def note(self, step: Result[LogHead, PlatformError]) -> None:
         """Take note of whether the platform answered, here or to a commit."""
         connected = isinstance(step, Ok)
         if connected:
@@ -99,7 +99,7 @@
         self._connected = connected
         self._tried.set()
 
-    async def _step(self, seen: HeadRead) -> Result[HeadRead, PlatformError]:
+    async def _step(self, seen: LogHead) -> Result[LogHead, PlatformError]:
         if seen.number and self._connected:
             found = await self._changes.watch_head(seen.index, WATCH_WAIT_S)
         else:
@@ -116,7 +116,7 @@
                 return probed
         return Ok(head)
 
-    async def _probe(self, head: HeadRead) -> Result[None, PlatformError]:
+    async def _probe(self, head: LogHead) -> Result[None, PlatformError]:
         """
         Look beyond the head.
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/outage.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/outage.py
@@ -2,12 +2,12 @@
 
 from math import inf
 
-__all__ = ["LONG_OUTAGE_S", "OutageWatch"]
+__all__ = ["LONG_OUTAGE_S", "OutageDetector"]
 
 LONG_OUTAGE_S = 10.0
 
 
-class OutageWatch:
+class OutageDetector:
     """
     Notes the calls that failed; all times are in seconds of one clock.
 
@@ -23,11 +23,11 @@
         """Whether calls have failed for long, and none has succeeded."""
         return now - self._began > LONG_OUTAGE_S
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """Note a call that was answered."""
         self._began = inf
 
-    def failed(self, now: float) -> None:
+    def note_failure(self, now: float) -> None:
         """Note a call that failed; one long after the last begins another outage."""
         forgotten = now - self._failed_at > LONG_OUTAGE_S
         self._began = now if forgotten else min(self._began, now)
--- a/packages/daemon/src/amaranthtally/daemon/entry/inquiries.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/outcome_queries.py
@@ -6,24 +6,24 @@
 from typing import Any
 
 from amaranthtally.daemon.entry.bound import BoundRequest
-from amaranthtally.daemon.entry.peers import Peers
+from amaranthtally.daemon.entry.sidecar_connections import Peers
 from amaranthtally.policy import Endpoint, LoadReport, RequestOutcome
 from amaranthtally.policy.at_most_once import Binding
 from amaranthtally.policy.handover import rank_successors
 from amaranthtally.wire import Load, OutcomeQuery, PeerLostError, StageReply, Status
 
-__all__ = ["Inquirer", "load_report"]
+__all__ = ["OutcomeQuerier", "load_report"]
 
 # A refusal is not held back for a sidecar that is silent, such as a paused one.
 INQUIRY_TIMEOUT_S = 0.5
 # Share of the entry's own time that is certain to have passed for a sidecar too.
 CLOCK_RATE = 0.999
 # Beyond a call's time, for what the entry does not know of the sidecar's clock.
-LATE_MARGIN_S = 2.0
+EXPIRY_MARGIN_S = 2.0
 SUCCESSORS_ASKED = 4
 
 
-class Inquirer:
+class OutcomeQuerier:
     """What an entry knows of incarnations, and its questions to them."""
 
     def __init__(self, peers: Peers) -> None:
@@ -71,7 +71,7 @@
         """
         clock, heard = self._clocks[endpoint]
         passed = (self._loop.time() - heard) / CLOCK_RATE
-        return clock + passed + remaining_s + LATE_MARGIN_S
+        return clock + passed + remaining_s + EXPIRY_MARGIN_S
 
     async def inquire_all(
         self, bound: BoundRequest, inquiry: OutcomeQuery
--- a/packages/daemon/src/amaranthtally/daemon/entry/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/service.py
@@ -16,18 +16,18 @@
 from amaranthtally.daemon.entry.callers import CallerApi, add_caller_routes
 from amaranthtally.daemon.entry.change_store import ChangeStore
 from amaranthtally.daemon.entry.claim_sweep import ClaimSweeper
-from amaranthtally.daemon.entry.claims import Claims
+from amaranthtally.daemon.entry.claims import ClaimStore
 from amaranthtally.daemon.entry.committer import Committer
-from amaranthtally.daemon.entry.departure import EntryDeparture, close_when_leaving
+from amaranthtally.daemon.entry.drain import EntryDeparture, close_when_leaving
 from amaranthtally.daemon.entry.executor import Executor
-from amaranthtally.daemon.entry.first_settings import load_from_peers
 from amaranthtally.daemon.entry.host_watch import follow_hosts, probe_endpoints
-from amaranthtally.daemon.entry.inquiries import Inquirer
+from amaranthtally.daemon.entry.initial_settings import load_from_peers
 from amaranthtally.daemon.entry.log_follower import LogFollower
 from amaranthtally.daemon.entry.membership import Membership
 from amaranthtally.daemon.entry.metrics import EntryMetrics
-from amaranthtally.daemon.entry.peers import Peers
+from amaranthtally.daemon.entry.outcome_queries import OutcomeQuerier
 from amaranthtally.daemon.entry.pipelines import PolicySettingsBuilder
+from amaranthtally.daemon.entry.sidecar_connections import Peers
 from amaranthtally.daemon.entry.snapshots import SnapshotStore
 from amaranthtally.daemon.entry.tokens import TokenSigner
 from amaranthtally.daemon.health import add_health_routes
@@ -122,11 +122,11 @@
         membership.unreachable,
     )
     stack.push_async_callback(peers.close)
-    inquirer = Inquirer(peers)
+    inquirer = OutcomeQuerier(peers)
     executor.connect(peers, inquirer)
     binder = Binder(
         settings.region,
-        Claims(parts.key_value),
+        ClaimStore(parts.key_value),
         TokenSigner(KeyRing(settings.token_keys)),
         inquirer,
     )
--- a/tests/at_most_once/support.py
+++ b/tests/at_most_once/support.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from amaranthtally.standins.deployment import open_deployment
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.support import plan
 
 PIPELINE = "dispatch-order"
@@ -42,7 +42,7 @@
     for pair in deployment.pool("dispatch"):
         if pair.service.exit_code is not None:
             await pair.service.wait()
-            lines = logged(pair.service, "died")
+            lines = log_lines(pair.service, "died")
             found.extend(json.loads(line.partition(" record=")[2]) for line in lines)
     return found
 
--- a/tests/at_most_once/test_claims.py
+++ b/tests/at_most_once/test_claims.py
@@ -9,8 +9,8 @@
 import pytest
 
 from amaranthtally.daemon.entry.claim_sweep import ClaimSweeper
-from amaranthtally.daemon.entry.claims import Claim, Claims, claim_path
-from amaranthtally.daemon.entry.outage import LONG_OUTAGE_S, OutageWatch
+from amaranthtally.daemon.entry.claims import Claim, ClaimStore, claim_path
+from amaranthtally.daemon.entry.outage import LONG_OUTAGE_S, OutageDetector
 from amaranthtally.platform import open_key_value
 from amaranthtally.policy.at_most_once import Binding
 from amaranthtally.standins.deployment import STANDINS
@@ -77,13 +77,13 @@
         async with open_platform() as platform:
             old = await put_claim(platform, 2 * DAY_S)
             assert await ClaimSweeper(platform, DAY_S, Random(1)).sweep(SHARD) == 1
-            claimed = await Claims(platform).claim(PATH, "b", BINDINGS)
-            assert claimed.ok_value.fresh
+            claimed = await ClaimStore(platform).claim(PATH, "b", BINDINGS)
+            assert claimed.ok_value.is_new
             assert (await platform.delete(PATH, old)).ok_value is False
             again = await asyncio.gather(
-                *(Claims(platform).claim(PATH, "b", BINDINGS) for _ in range(3))
+                *(ClaimStore(platform).claim(PATH, "b", BINDINGS) for _ in range(3))
             )
-            assert not [found for found in again if found.ok_value.fresh]
+            assert not [found for found in again if found.ok_value.is_new]
 
     run_async(scenario())
 
@@ -101,14 +101,14 @@
             wall_clock = time.time
             with monkeypatch.context() as at_claim:
                 at_claim.setattr(time, "time", lambda: wall_clock() + min(wrong_s, 0))
-                claimed = await Claims(other).claim(PATH, "a", BINDINGS)
-                assert claimed.ok_value.fresh
+                claimed = await ClaimStore(other).claim(PATH, "a", BINDINGS)
+                assert claimed.ok_value.is_new
             with monkeypatch.context() as at_sweep:
                 at_sweep.setattr(time, "time", lambda: wall_clock() + max(wrong_s, 0))
                 sweeper = ClaimSweeper(platform, DAY_S, Random(1))
                 assert await sweeper.sweep(SHARD) == 0
-            again = await Claims(platform).claim(PATH, "a", BINDINGS)
-            assert not again.ok_value.fresh
+            again = await ClaimStore(platform).claim(PATH, "a", BINDINGS)
+            assert not again.ok_value.is_new
 
     run_async(scenario())
 
@@ -122,7 +122,7 @@
     async def scenario():
         async with open_platform("slow=0.7") as platform:
             await put_claim(platform, 0.0)
-            again = await Claims(platform).claim(PATH, "a", BINDINGS, LONG_OUTAGE_S)
+            again = await ClaimStore(platform).claim(PATH, "a", BINDINGS, LONG_OUTAGE_S)
             assert again.ok_value.claim.id == "first"
 
     run_async(scenario())
@@ -133,14 +133,14 @@
     The platform is down for an hour: callers who each wait half of their deadline
     for nothing fill the entries, and all write at once as it comes back.
     """
-    outage = OutageWatch()
-    outage.failed(0.0)
-    outage.failed(LONG_OUTAGE_S)
+    outage = OutageDetector()
+    outage.note_failure(0.0)
+    outage.note_failure(LONG_OUTAGE_S)
     assert not outage.is_long(LONG_OUTAGE_S)
-    outage.failed(LONG_OUTAGE_S + 1)
+    outage.note_failure(LONG_OUTAGE_S + 1)
     assert outage.is_long(LONG_OUTAGE_S + 1)
-    outage.succeeded()
+    outage.note_success()
     assert not outage.is_long(LONG_OUTAGE_S + 2)
     later = 100 * LONG_OUTAGE_S
-    outage.failed(later)
+    outage.note_failure(later)
     assert not outage.is_long(later + 1)
--- a/tests/at_most_once/test_faults.py
+++ b/tests/at_most_once/test_faults.py
@@ -17,7 +17,7 @@
     wait_for_calls_in_all,
     wait_for_effects,
 )
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.support import run_async
 
 QUICK = 5
@@ -225,7 +225,7 @@
             )
 
             async def put_off():
-                return bool(logged(deployment.entries[0], "claim_put_off"))
+                return bool(log_lines(deployment.entries[0], "claim_put_off"))
 
             await wait_for(lambda: ended_or(order, put_off))
             await deployment.set_knobs(deployment.platform, outage=False)
--- a/tests/at_most_once/test_hung_service.py
+++ b/tests/at_most_once/test_hung_service.py
@@ -16,7 +16,7 @@
     wait_for_effects,
 )
 from tests.at_most_once.test_handover import greet
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.support import run_async
 
 QUICK_STOP = {"abandoned_wait": 0.2}
@@ -123,7 +123,7 @@
             pair.sidecar.send(signal.SIGTERM)
 
             async def handed_over():
-                return bool(logged(pair.sidecar, "records_handed_over"))
+                return bool(log_lines(pair.sidecar, "records_handed_over"))
 
             await wait_for(handed_over)
             await pair.sidecar.kill()
--- a/tests/at_most_once/test_links.py
+++ b/tests/at_most_once/test_links.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from amaranthtally.daemon.entry.inquiries import LATE_MARGIN_S
+from amaranthtally.daemon.entry.outcome_queries import EXPIRY_MARGIN_S
 from amaranthtally.standins.relay import LinkFault, open_relays
 from amaranthtally.wire import connect_sidecar
 from tests.at_most_once.support import (
@@ -18,7 +18,7 @@
     wait_for,
     wait_for_calls_in_all,
 )
-from tests.lifecycle.support import run_wire
+from tests.lifecycle.support import run_with_capnp
 from tests.support import run_async
 
 DEADLINE_MS = 4000
@@ -116,13 +116,13 @@
             await answers_again(deployment, [LATE])
             assert len(await effects(deployment)) == 2
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 async def wait_until_late(pair):
     """Return once no call that was sent before may start, by the sidecar's clock."""
     client = await connect_sidecar("127.0.0.1", pair.sidecar.ports["port"], 1.0)
-    late_s = (await client.load()).clock_s + LATE_MS / 1000 + LATE_MARGIN_S
+    late_s = (await client.load()).clock_s + LATE_MS / 1000 + EXPIRY_MARGIN_S
     while (await client.load()).clock_s < late_s:
         await asyncio.sleep(0.05)
     client.close()
--- a/tests/at_most_once/test_refusals.py
+++ b/tests/at_most_once/test_refusals.py
@@ -13,7 +13,7 @@
     wait_for_calls,
 )
 from tests.at_most_once.test_handover import greet
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.support import run_async
 
 LONG_MS = 60_000
@@ -33,7 +33,7 @@
     return any(
         cause in line
         for entry in deployment.entries
-        for line in logged(entry, "attempt_ended")
+        for line in log_lines(entry, "attempt_ended")
     )
 
 
--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -22,7 +22,7 @@
     FakeSidecar,
     chunk_text,
     fake_deployment,
-    run_wire,
+    run_with_capnp,
     whole_text,
 )
 from tests.support import parse_events, run_async
@@ -70,7 +70,7 @@
             resumed = [c for c in working.calls if c.id.request_id in failed]
             assert {c.resume_offset for c in resumed} == {CHUNKS // 2}
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 class DelayedEntry:
@@ -271,4 +271,4 @@
                 assert received == [f"request-{number}:{o} " for o in range(CHUNKS)]
             client.close()
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
--- a/tests/lifecycle/support.py
+++ b/tests/lifecycle/support.py
@@ -30,7 +30,7 @@
 CHUNKS = 12
 
 
-def run_wire(work):
+def run_with_capnp(work):
     """Run a scenario on the loop of the system's processes, bounded in time."""
     run(asyncio.wait_for(_in_kj(work), TEST_TIMEOUT_S))
 
@@ -240,6 +240,6 @@
         await deployment.wait_revision(change["number"], number)
 
 
-def logged(process, event):
+def log_lines(process, event):
     """Return the log lines of an event."""
     return [line for line in process.lines if f"event={event} " in line]
--- a/tests/lifecycle/test_answers.py
+++ b/tests/lifecycle/test_answers.py
@@ -11,8 +11,8 @@
     RepeatingSidecar,
     SwappingSidecar,
     fake_deployment,
-    logged,
-    run_wire,
+    log_lines,
+    run_with_capnp,
     whole_text,
 )
 from tests.support import parse_events
@@ -39,10 +39,10 @@
                 assert answer.status == 200, document
                 assert document["output"] == {"echo": f"claim {number}"}
             assert len(bad.calls) > 1
-            refused = logged(deployment.entries[0], "attempt_ended")
+            refused = log_lines(deployment.entries[0], "attempt_ended")
             assert any("belongs to another call" in line for line in refused)
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 def test_late_answers_never_reach_the_next_request():
@@ -74,7 +74,7 @@
                 assert answer.status == 200, document
                 assert document["output"] == {"echo": f"second {number}"}
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 async def assert_late_or_not_run(answer, text, asked):
@@ -115,4 +115,4 @@
                 assert events[-1][1]["output"]["text"] == text
             assert len(bad.calls) > 1
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -17,7 +17,7 @@
 )
 from tests.at_most_once.test_handover import place_orders, repeat_all
 from tests.lifecycle.model_support import DEADLINE_MS, by_model, model_plan
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.settings.helpers import admin, propose, set_value
 from tests.support import run_async
 
@@ -57,7 +57,7 @@
     }
     file = deployment.write_settings("shared", shared)
     process = await deployment.start_daemon("sidecar", "shared", file)
-    while len(found := logged(process, "listening")) < len(pairs):
+    while len(found := log_lines(process, "listening")) < len(pairs):
         await asyncio.sleep(0.02)
     ports = {m[1]: int(m[2]) for line in found if (m := NAME.search(line))}
     ops = [
@@ -123,7 +123,8 @@
                 assert await repeat_all(deployment, outputs) == []
                 assert len(await effects(deployment)) == len(outputs)
                 left = {
-                    line.rpartition("=")[2] for line in logged(host, "sidecar_stopped")
+                    line.rpartition("=")[2]
+                    for line in log_lines(host, "sidecar_stopped")
                 }
                 assert left == {first.id, second.id}
 
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -15,8 +15,8 @@
 from tests.lifecycle.support import (
     FakeSidecar,
     fake_deployment,
-    logged,
-    run_wire,
+    log_lines,
+    run_with_capnp,
 )
 from tests.support import plan, run_async
 
@@ -32,7 +32,7 @@
 
 async def wait_logged(process, event, text):
     """Return once a process has logged an event that holds ``text``."""
-    while not any(text in line for line in logged(process, event)):
+    while not any(text in line for line in log_lines(process, event)):
         await asyncio.sleep(0.05)
 
 
@@ -118,7 +118,7 @@
             assert (await answer.json())["outcome"] == "not_run"
             client.close()
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
@@ -163,7 +163,7 @@
             change = await deployment.apply({"firm": registered})
             await deployment.wait_revision(change["number"])
             for pair in deployment.endpoints.values():
-                out = logged(deployment.entries[0], "endpoint_out")
+                out = log_lines(deployment.entries[0], "endpoint_out")
                 if any(f"endpoint={pair.id}" in line for line in out):
                     await wait_logged(deployment.entries[0], "endpoint_back", pair.id)
             await answers(deployment)
@@ -198,4 +198,4 @@
             for sidecar in leaving:
                 assert len(sidecar.calls) <= 1
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
--- a/tests/lifecycle/test_model_changes.py
+++ b/tests/lifecycle/test_model_changes.py
@@ -27,7 +27,7 @@
     wait_models,
     wait_served,
 )
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.settings.helpers import propose, set_value, start_sidecar_beside
 from tests.support import parse_events, plan, run_async
 
@@ -289,7 +289,7 @@
                 await load.some_more()
             assert [a for a in load.answers if a[0] != 200] == []
             assert not [r for r in await engine_records(deployment) if "cut" in r]
-            assert not logged(deployment.entries[0], "policy_failed")
+            assert not log_lines(deployment.entries[0], "policy_failed")
 
     run_async(scenario())
 
--- a/tests/lifecycle/test_planned_stops.py
+++ b/tests/lifecycle/test_planned_stops.py
@@ -12,7 +12,7 @@
 from amaranthtally.standins.chaos.world import World
 from amaranthtally.standins.deployment import open_deployment
 from tests.at_most_once.support import effects_deployment
-from tests.lifecycle.support import logged
+from tests.lifecycle.support import log_lines
 from tests.support import parse_events, plan, run_async
 
 TOKENS = 8
@@ -104,7 +104,9 @@
 
 def is_out(entry):
     """Whether an entry sends some endpoint nothing, by its log."""
-    return len(logged(entry, "endpoint_out")) > len(logged(entry, "endpoint_back"))
+    return len(log_lines(entry, "endpoint_out")) > len(
+        log_lines(entry, "endpoint_back")
+    )
 
 
 def test_a_long_stream_outlives_the_stop_of_its_entry_and_its_sidecar():
--- a/tests/lifecycle/test_streams.py
+++ b/tests/lifecycle/test_streams.py
@@ -21,8 +21,8 @@
 from tests.lifecycle.support import (
     FakeSidecar,
     fake_deployment,
-    logged,
-    run_wire,
+    log_lines,
+    run_with_capnp,
 )
 from tests.support import parse_events, plan, run_async
 
@@ -215,7 +215,7 @@
             assert 0 < len("".join(parts)) <= MAX_TEXT_BYTES
             assert len(endless.calls) == 1
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 class LongSidecar(FakeSidecar):
@@ -250,9 +250,9 @@
                 other = await deployment.call("echo", "claim", stream=True)
                 assert parse_events(await other.text())[-1][0] == "done"
                 assert await deployment.entries[0].stop() == 0
-                assert not logged(deployment.entries[0], "entry_stop_forced")
+                assert not log_lines(deployment.entries[0], "entry_stop_forced")
 
-    run_wire(scenario())
+    run_with_capnp(scenario())
 
 
 def test_a_stream_to_a_caller_that_stands_still_ends():
--- a/tests/prefixes/test_cache_updates.py
+++ b/tests/prefixes/test_cache_updates.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from amaranthtally.daemon.entry.cache_news import CacheFollower
+from amaranthtally.daemon.entry.cache_updates import CacheUpdateTracker
 from amaranthtally.daemon.lifecycle import serve_http
 from amaranthtally.daemon.prompts import cache_salt, prefix_blocks
 from amaranthtally.daemon.sidecar.engine_cache import EngineCache
@@ -29,18 +29,18 @@
     def __init__(self):
         self.cache_index = PrefixCacheIndex()
         self.cache_index.record_prompt(NAMES, BLOCKS)
-        self.follower = CacheFollower()
+        self.tracker = CacheUpdateTracker()
         self.prefixes = PrefixIndex()
 
     def reply(self, incarnation=1, serial=None):
         """Transfer a call with the last serial that the entry knows, and its reply."""
         if serial is None:
-            serial = self.follower.heard("engine")
+            serial = self.tracker.last_serial("engine")
         self.apply(self.cache_index.update_since(serial), incarnation)
 
     def apply(self, update, incarnation=1):
         """Apply the cache update of a reply."""
-        event = self.follower.take("engine", incarnation, update)
+        event = self.tracker.apply("engine", incarnation, update)
         if event is not None:
             self.prefixes.apply_event(0.0, "engine", event)
 
--- a/tests/settings/test_racing_writers.py
+++ b/tests/settings/test_racing_writers.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from amaranthtally.daemon.entry import change_store, committer
-from amaranthtally.daemon.entry.change_store import ChangeStore, HeadRead
+from amaranthtally.daemon.entry.change_store import ChangeStore, LogHead
 from amaranthtally.daemon.entry.committer import ChangeConflict, Committer
 from amaranthtally.daemon.entry.log_follower import LogFollower
 from amaranthtally.daemon.entry.snapshots import SnapshotStore
@@ -52,7 +52,7 @@
             self.ended[change_id] = await self.committer.commit(proposal)
 
     async def catch_up(self):
-        while isinstance(await self.follower._step(HeadRead(0)), Err):
+        while isinstance(await self.follower._step(LogHead(0)), Err):
             pass
         await self.committer.close()
 
@@ -149,7 +149,7 @@
         ops = [Op("region:a", "deadline_ms", 2)]
         await writer.committer.commit(Proposal("1", "", ops, None, "unnamed"))
         store.items["head"] = head
-        seen = HeadRead(head.index, 1)
+        seen = LogHead(head.index, 1)
         assert isinstance(await other.follower._step(seen), Ok)
         assert other.state.revision == 2
         assert store.items["head"].index > head.index
