--- a/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
@@ -39,7 +39,7 @@
 
     @property
     def first_read_done(self) -> asyncio.Event:
-        """Set after the first read from the platform, whether it succeeded or failed."""
+        """Set after the first read from the platform, successful or not."""
         return self._first_read_done
 
     @property
@@ -76,7 +76,7 @@
             self._state.take([head.change], SOURCE)
             return Ok(None)
         if head.number - revision > BLOCK:
-            snapshot = await self._snapshots.past_head_result()
+            snapshot = await self._snapshots.read()
             if isinstance(snapshot, Err):
                 return snapshot
             if snapshot.ok_value is not None:
