--- a/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
@@ -8,7 +8,7 @@
 from result import Err
 
 from amaranthtally.adapter.callers import read_caller_request, request_id_of
-from amaranthtally.adapter.messages import AnswerHead, CallerRequest
+from amaranthtally.adapter.messages import CallerRequest, ResponseHead
 from amaranthtally.daemon.gateway.arrivals import ArrivalBuilder
 from amaranthtally.daemon.gateway.executor import GatewayExecutor
 from amaranthtally.daemon.gateway.live_call import (
@@ -53,14 +53,14 @@
         arrivals: ArrivalBuilder,
         metrics: GatewayMetrics,
         table: Callable[[], RouteTable | None],
-        is_leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self._is_closed = False
         self._executor = executor
         self._arrivals = arrivals
         self._metrics = metrics
         self._table = table
-        self._is_leaving = is_leaving
+        self._is_stopping = is_stopping
         self._open_responses = 0
         self._time = asyncio.get_running_loop().time
 
@@ -116,7 +116,7 @@
         )
         self._executor.submit(call)
         try:
-            return await self._answer(request, call)
+            return await self._respond(request, call)
         except (asyncio.CancelledError, ConnectionError):
             self._executor.cancel_request(call)
             raise
@@ -181,7 +181,7 @@
 
     # Responses
 
-    async def _answer(
+    async def _respond(
         self, request: web.BaseRequest, call: LiveCall
     ) -> web.StreamResponse:
         event = await call.next()
@@ -202,15 +202,15 @@
         refusal = refusal_of(event.refusal)
         outcome = event.refusal.outcome.value
         self._log_end(call, refusal.status, outcome, refusal)
-        return self._close_if_leaving(refusal_response(refusal, call.id))
+        return self._close_if_stopping(refusal_response(refusal, call.id))
 
     async def _stream(
-        self, request: web.BaseRequest, call: LiveCall, head: AnswerHead
+        self, request: web.BaseRequest, call: LiveCall, head: ResponseHead
     ) -> web.StreamResponse:
         response = web.StreamResponse(status=head.status)
         response.headers.extend(head.headers)
         response.enable_chunked_encoding()
-        self._close_if_leaving(response)
+        self._close_if_stopping(response)
         await response.prepare(request)
         event = await call.next()
         while isinstance(event, StreamEvents):
@@ -233,7 +233,7 @@
         response = web.Response(status=answer.head.status, body=answer.body)
         response.headers.popall(hdrs.CONTENT_TYPE, None)
         response.headers.extend(answer.head.headers)
-        return self._close_if_leaving(response)
+        return self._close_if_stopping(response)
 
     def _refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.Response:
         request_id = request_id_of(request.headers)
@@ -244,11 +244,11 @@
             status=refusal.status,
             reason=refusal.reason,
         )
-        return self._close_if_leaving(refusal_response(refusal, request_id))
+        return self._close_if_stopping(refusal_response(refusal, request_id))
 
-    def _close_if_leaving(self, response: ResponseT) -> ResponseT:
+    def _close_if_stopping(self, response: ResponseT) -> ResponseT:
         """Close the connection after this response if the process is stopping."""
-        if self._is_leaving():
+        if self._is_stopping():
             response.force_close()
             response.headers[hdrs.CONNECTION] = "close"
         return response
--- a/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
@@ -22,7 +22,7 @@
 # that starts after it still brings the configuration into force within 4 s.
 STORE_FINISH_WAIT_S = 2.5
 # Interval between checks of whether the store is still sending, in seconds.
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 MS_PER_S = 1000.0
 
 log = get_logger()
@@ -105,7 +105,7 @@
         while self._store.is_receiving and self._missing_documents(peer_versions):
             if self._time() >= deadline:
                 return
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _fetch(self, peer: str, document: Document) -> None:
         started = self._time()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -8,9 +8,9 @@
 import aiohttp
 from yarl import URL
 
-from amaranthtally.adapter.answers import read_answer
-from amaranthtally.adapter.callers import call_headers
-from amaranthtally.adapter.messages import AnswerHead, CallHead, EndpointLoad
+from amaranthtally.adapter.callers import request_headers
+from amaranthtally.adapter.messages import EndpointLoad, ResponseHead, SystemHeaders
+from amaranthtally.adapter.responses import read_response_head
 from amaranthtally.daemon.gateway.event_buffer import EventBuffer
 from amaranthtally.daemon.gateway.live_call import (
     CompleteResponse,
@@ -142,7 +142,7 @@
         if remaining_s <= 0:
             return AttemptResult(AttemptOutcome.NOT_RUN)
         handles = tuple(result.handle for result in inputs)
-        head = CallHead(
+        head = SystemHeaders(
             endpoint=endpoint.id,
             remaining_s=remaining_s,
             account=call.account,
@@ -152,12 +152,12 @@
         async with self._session.request(
             call.method,
             URL(f"http://{endpoint.address}{call.target}", encoded=True),
-            headers=call_headers(call.caller, head),
+            headers=request_headers(call.caller, head),
             data=call.body or None,
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S),
         ) as response:
-            answer = read_answer(response.status, response.headers)
+            answer = read_response_head(response.status, response.headers)
             rejected = self._rejection(call, send, endpoint, answer, started)
             if rejected is not None:
                 if rejected.outcome is not AttemptOutcome.NOT_RUN:
@@ -172,7 +172,7 @@
         call: LiveCall,
         send: Send,
         endpoint: Endpoint,
-        answer: AnswerHead,
+        answer: ResponseHead,
         started: float,
     ) -> AttemptResult | None:
         """Return the result if the response cannot be used, or else ``None``."""
@@ -200,7 +200,7 @@
         self,
         call: LiveCall,
         send: Send,
-        answer: AnswerHead,
+        answer: ResponseHead,
         response: aiohttp.ClientResponse,
         started: float,
     ) -> AttemptResult:
@@ -220,7 +220,7 @@
         self,
         call: LiveCall,
         send: Send,
-        answer: AnswerHead,
+        answer: ResponseHead,
         response: aiohttp.ClientResponse,
         started: float,
     ) -> AttemptResult:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
@@ -43,7 +43,7 @@
         return tuple(self._items.values())
 
     def replace(self, items: tuple[StoreItem, ...]) -> None:
-        """Replace all records by those of a complete listing."""
+        """Apply a complete listing of the records."""
         self._items = {item.key: item for item in items}
         decoded = [self._decode(item) for item in items]
         endpoints = [endpoint for endpoint in decoded if endpoint is not None]
--- a/packages/daemon/src/amaranthtally/daemon/gateway/event_buffer.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/event_buffer.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["EventBuffer", "CompleteEvents"]
+__all__ = ["CompleteEvents", "EventBuffer"]
 
 # The end of an event: as engines write it, and the other form that the standard allows.
 EVENT_DELIMITERS = (b"\n\n", b"\r\n\r\n")
--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -104,7 +104,7 @@
         """Function that runs a coroutine in the background."""
         return self._decisions.spawn
 
-    def use_peers(self, connections: PeerConnections) -> None:
+    def set_peer_connections(self, connections: PeerConnections) -> None:
         """Use these connections to peers."""
         self._connections = connections
 
@@ -133,8 +133,8 @@
         log.info("request_abandoned", request_id=call.id, attempts=call.attempts)
 
     @property
-    def peers_to_check(self) -> frozenset[str]:
-        """The gateways to be probed: those in use and those that have failed."""
+    def peers_to_probe(self) -> frozenset[str]:
+        """The gateways to probe: those making pieces for this one and failed ones."""
         return self._planner.awaited_peers | self._planner.unavailable_peers(
             self._time()
         )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/live_call.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/live_call.py
@@ -3,17 +3,17 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from amaranthtally.adapter.messages import AnswerHead, CallerRequest
+from amaranthtally.adapter.messages import CallerRequest, ResponseHead
 from amaranthtally.policy import Arrival, AttemptId, Refuse, Route
 
 __all__ = [
+    "CallEvent",
     "CompleteResponse",
-    "StreamStarted",
+    "LiveCall",
     "RequestFailed",
-    "CallEvent",
-    "StreamEvents",
     "StreamEnded",
-    "LiveCall",
+    "StreamEvents",
+    "StreamStarted",
 ]
 
 # Events of a stream that may be queued for a slow caller before the gateway stops
@@ -25,7 +25,7 @@
 class CompleteResponse:
     """The complete response of an endpoint."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -33,7 +33,7 @@
 class StreamStarted:
     """An endpoint has started to send a stream."""
 
-    head: AnswerHead
+    head: ResponseHead
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -17,12 +17,12 @@
 ENTRIES_PREFIX = "entries/"
 # A killed gateway stays registered for this long, in seconds. Peers that call it notice
 # the failure at once.
-LEASE_S = 6.0
+LEASE_TTL_S = 6.0
 # Interval between renewals, in seconds. A renewal costs a tenth of a read; three may
 # fail before the lease ends.
-RENEW_S = 1.5
-RETRY_S = 0.3
-RETRY_SPREAD = 0.5
+RENEW_INTERVAL_S = 1.5
+RETRY_DELAY_S = 0.3
+RETRY_JITTER = 0.5
 
 log = get_logger()
 
@@ -38,18 +38,18 @@
         self._value = msgspec.json.encode(record)
         self._random = random
         self._lease = 0
-        self._ended = False
+        self._is_deregistered = False
 
     async def run(self) -> None:
         """Register and renew the lease until cancelled or deregistered."""
-        while not self._ended:
+        while not self._is_deregistered:
             renewed = await self._renew() if self._lease else await self._register()
-            pause_s = RENEW_S if renewed else RETRY_S
-            await asyncio.sleep(pause_s * (1.0 + RETRY_SPREAD * self._random.random()))
+            pause_s = RENEW_INTERVAL_S if renewed else RETRY_DELAY_S
+            await asyncio.sleep(pause_s * (1.0 + RETRY_JITTER * self._random.random()))
 
     async def deregister(self) -> None:
         """Remove the record, so that peers request no more pieces here."""
-        self._ended = True
+        self._is_deregistered = True
         if self._lease:
             await self._client.end_lease(self._lease)
 
@@ -64,7 +64,7 @@
         return renewed.ok_value
 
     async def _register(self) -> bool:
-        granted = await self._client.grant_lease(LEASE_S)
+        granted = await self._client.grant_lease(LEASE_TTL_S)
         if isinstance(granted, Err):
             return False
         lease = granted.ok_value
@@ -101,7 +101,7 @@
         self._time = asyncio.get_running_loop().time
 
     def replace(self, items: tuple[StoreItem, ...]) -> None:
-        """Replace all peers by those of a complete listing."""
+        """Apply a complete listing; peers without a record become unconfirmed."""
         decoded = [(_name_of(item), _decode(item)) for item in items]
         peers = {name: record for name, record in decoded if record is not None}
         peers.pop(self._own_name, None)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
@@ -18,16 +18,16 @@
 # region.
 CONNECT_TIMEOUT_S = 0.4
 # Time-out for a call, in seconds. No call between gateways waits for work to be done,
-# so a peer that does not answer in time is stalled.
+# so a peer that does not answer in time has failed or is stalled.
 CALL_TIMEOUT_S = 0.8
 
 # Interval between probes of a peer that makes pieces for this gateway or has failed to,
 # in seconds. A call costs the peer 0.2 ms.
-HEARTBEAT_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 # Attempts to report the outcomes of its pieces to a peer, and the pause between them,
 # in seconds. The first may fail because the connection was reset.
 REPORT_ATTEMPTS = 3
-REPORT_RETRY_S = 0.2
+REPORT_RETRY_DELAY_S = 0.2
 
 # The record of a gateway that makes no pieces because it is starting or stopping.
 INACTIVE_RECORD = PeerRecord("", "")
@@ -67,7 +67,7 @@
         self._loop = asyncio.get_running_loop()
 
     def set_own_record(self, record: PeerRecord) -> None:
-        """Set the record that is sent to peers with each greeting from now on."""
+        """Set the record that is sent to peers with each status from now on."""
         self._record = record
 
     def set_addresses(self, addresses: Mapping[str, str]) -> None:
@@ -92,7 +92,7 @@
         self._spawn(self._release_results(peer, results, ended))
 
     async def exchange_status(self, peer: str, versions: Versions) -> GatewayStatus:
-        """Exchange versions with a peer; raises ``PeerLostError``."""
+        """Send the record and versions to a peer; raises ``PeerLostError``."""
         return await self._call(
             peer, lambda c: c.exchange_status(self._name, self._record, versions)
         )
@@ -116,11 +116,11 @@
             log.info("peer_lost", peer=peer, pieces=len(jobs), cause=str(error))
             self._listener.peer_failed(peer)
 
-    async def run_heartbeat(self, peers_to_check: Callable[[], frozenset[str]]) -> None:
+    async def run_heartbeat(self, peers_to_probe: Callable[[], frozenset[str]]) -> None:
         """Probe peers regularly to detect failed and recovered ones."""
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
-            await asyncio.gather(*(self._probe(peer) for peer in peers_to_check()))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
+            await asyncio.gather(*(self._probe(peer) for peer in peers_to_probe()))
 
     async def _probe(self, peer: str) -> None:
         try:
@@ -142,7 +142,7 @@
                 log.info(
                     "peer_not_told", peer=peer, pieces=len(reports), cause=str(error)
                 )
-            await asyncio.sleep(REPORT_RETRY_S)
+            await asyncio.sleep(REPORT_RETRY_DELAY_S)
 
     async def _release_results(
         self, peer: str, results: Sequence[StoredResult], ended: str
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -32,16 +32,16 @@
         executor: GatewayExecutor,
         configuration: ConfigurationTracker,
         records: EndpointRecordTracker,
-        on_greeting: Callable[[str, PeerRecord], None],
+        on_peer_record: Callable[[str, PeerRecord], None],
         on_newer: Callable[[str, Versions], object],
-        is_leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
     ) -> None:
         self._executor = executor
         self._configuration = configuration
         self._records = records
-        self._on_greeting = on_greeting
+        self._on_peer_record = on_peer_record
         self._on_newer = on_newer
-        self._is_leaving = is_leaving
+        self._is_stopping = is_stopping
         self._snapshots = {document: DocumentSnapshots() for document in Document}
 
     @property
@@ -53,11 +53,11 @@
         self, name: str, record: PeerRecord, versions: Versions
     ) -> GatewayStatus:
         """Return this gateway's versions; fetch the peer's configuration if newer."""
-        self._on_greeting(name, record)
+        self._on_peer_record(name, record)
         self.note_peer_versions(name, versions)
         if versions.configuration > self._configuration.version:
             self._on_newer(name, versions)
-        return GatewayStatus(self.versions, self._is_leaving())
+        return GatewayStatus(self.versions, self._is_stopping())
 
     def read_part(self, request: PartRequest) -> DocumentPart:
         """Return a part of the configuration or the records."""
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
@@ -1,4 +1,4 @@
-"""Probes gateways whose records are missing, to find out whether they still run."""
+"""Probes gateways whose records are missing to find out whether they still run."""
 
 import asyncio
 from collections.abc import Callable
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
@@ -33,7 +33,7 @@
 
     @property
     def prober(self) -> PeerProber:
-        """Probes the peers whose records are missing."""
+        """The prober of the peers whose records are missing."""
         return self._prober
 
     def apply_live_peers(self) -> None:
@@ -45,8 +45,8 @@
         self._routing_state.set_entry_count(len(alive) + 1)
         self._prober.wake()
 
-    def peer_greeted(self, name: str, record: PeerRecord) -> None:
-        """Note the record that a peer sent with its greeting."""
+    def peer_status_received(self, name: str, record: PeerRecord) -> None:
+        """Note the record that a peer sent with its status."""
         if self._peers.note_greeting(self._time(), name, record):
             log.info("peer_met", peer=name, address=record.address)
             self.apply_live_peers()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from amaranthtally.adapter import headers as names, pieces
-from amaranthtally.adapter.answers import read_answer
+from amaranthtally.adapter.responses import read_response_head
 from amaranthtally.daemon.gateway.metrics import GatewayMetrics
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.policy import (
@@ -59,7 +59,7 @@
 
     async def run(self, order: RunPieces, endpoint: Endpoint | None) -> None:
         """Send one call; ``endpoint`` is ``None`` if it is no longer registered."""
-        end = FAILED if endpoint is None else await self._try(order, endpoint)
+        end = FAILED if endpoint is None else await self._attempt(order, endpoint)
         self._on_end(order.call, end)
 
     async def free(self, order: FreeResults, endpoint: Endpoint) -> None:
@@ -90,7 +90,7 @@
                 cause=repr(error),
             )
 
-    async def _try(self, order: RunPieces, endpoint: Endpoint) -> PiecesEnded:
+    async def _attempt(self, order: RunPieces, endpoint: Endpoint) -> PiecesEnded:
         started = self._loop.time()
         try:
             return await self._exchange(order, endpoint, started)
@@ -111,7 +111,7 @@
             ),
         ) as response:
             body = await response.read()
-        answer = read_answer(response.status, response.headers)
+        answer = read_response_head(response.status, response.headers)
         running = answer.load.running if answer.load else None
         queued = answer.load.queued if answer.load else 0
         if answer.status != HTTP_OK:
@@ -133,9 +133,9 @@
         cause: str,
         started: float,
     ) -> None:
-        took_s = self._loop.time() - started
-        batch = order.details
-        self._metrics.pieces_ended(endpoint.pool, fate, len(order.pieces), took_s)
+        duration_s = self._loop.time() - started
+        details = order.details
+        self._metrics.pieces_ended(endpoint.pool, fate, len(order.pieces), duration_s)
         log.info(
             "pieces_ended",
             call=order.call,
@@ -143,13 +143,13 @@
             pool=endpoint.pool,
             data_centre=endpoint.data_centre,
             pieces=len(order.pieces),
-            places=batch.places,
-            waiting=batch.waiting,
-            waited_ms=round(batch.waited_s * MS_PER_S),
-            memory_kb=_kilobytes(batch.memory_bytes),
-            shortage=batch.shortage,
+            places=details.places,
+            waiting=details.waiting,
+            waited_ms=round(details.waited_s * MS_PER_S),
+            memory_kb=_kilobytes(details.memory_bytes),
+            shortage=details.shortage,
             requests=",".join(dict.fromkeys(p.request_id for p in order.pieces)),
             fate=fate,
             cause=cause,
-            ms=round(took_s * MS_PER_S),
+            ms=round(duration_s * MS_PER_S),
         )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
@@ -11,7 +11,7 @@
 from amaranthtally.daemon.logs import get_logger
 from amaranthtally.platform import PlatformError, PlatformHistoryCompacted, StoreClient
 
-__all__ = ["PrefixWatcher", "PrefixListener", "PrefixDispatcher"]
+__all__ = ["PrefixDispatcher", "PrefixListener", "PrefixWatcher"]
 
 # A watch without events ends after this time, in seconds. A watch can stop delivering
 # events without ending; a change made meanwhile is noticed only by the next watch, and
@@ -20,8 +20,8 @@
 WATCH_TIMEOUT_S = 1.2
 # Pause before a retry while the store does not answer, in seconds. Random jitter of up
 # to a half keeps the entries from retrying at the same time.
-RETRY_S = 0.25
-RETRY_SPREAD = 0.5
+RETRY_DELAY_S = 0.25
+RETRY_JITTER = 0.5
 # Pause before the next watch after a change, in seconds. Changes come in bursts, as
 # gateways and endpoints start or stop together, and each change ends the watch of every
 # gateway. With the pause a burst costs each gateway one or two calls, not one for each
@@ -84,7 +84,7 @@
 
     def _pause_s(self, answer: Result[StoreEvents, PlatformError]) -> float:
         if isinstance(answer, Err):
-            return RETRY_S * (1.0 + RETRY_SPREAD * self._random.random())
+            return RETRY_DELAY_S * (1.0 + RETRY_JITTER * self._random.random())
         return CHANGE_BATCH_S if answer.ok_value.items else 0.0
 
     def _apply_listing(self, answer: Result[StoreEvents, PlatformError]) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -80,7 +80,7 @@
 # Unsent requests are refused when this much of the grace period is left, in seconds.
 # Their callers have time to retry elsewhere, and requests sent by then can finish.
 REFUSE_MARGIN_S = 3.5
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 # How long to wait for open connections when the process ends, in seconds. aiohttp takes
 # 0 as no limit: a single caller with an idle open connection then kept the process
 # running to the end of its grace period, until it was killed, and delayed its restart.
@@ -142,7 +142,7 @@
     executor = _new_executor(routing_state, random, session, metrics)
     connections = PeerConnections(settings.name, executor.spawn, executor)
     stack.callback(connections.close)
-    executor.use_peers(connections)
+    executor.set_peer_connections(connections)
 
     configuration = ConfigurationTracker(routing_state.apply_table)
     records = EndpointRecordTracker(
@@ -158,7 +158,7 @@
         executor,
         configuration,
         records,
-        peer_updater.peer_greeted,
+        peer_updater.peer_status_received,
         fetch_newer,
         stop.is_set,
     )
@@ -184,7 +184,7 @@
         gossip.run(),
         peer_updater.prober.run(),
         executor.tick(),
-        connections.run_heartbeat(lambda: executor.peers_to_check),
+        connections.run_heartbeat(lambda: executor.peers_to_probe),
         writer.keep_draining(),
     ]:
         run_beside(stack, work)
@@ -311,7 +311,7 @@
     while gateway.caller_handler.open_responses or gateway.executor.in_flight:
         if asyncio.get_running_loop().time() >= refuse_at:
             gateway.executor.refuse_unsent()
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     gateway.caller_server.pre_shutdown()
 
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
@@ -26,7 +26,7 @@
 # The prefix of every key. A gateway watches all of the store, as it needs every key.
 ALL_KEYS = ""
 # Interval between removals of endpoints and peers whose records expired, in seconds.
-EXPIRE_S = 0.5
+EXPIRE_INTERVAL_S = 0.5
 
 
 class StoreSync:
@@ -78,6 +78,6 @@
 
     async def _expire(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRE_INTERVAL_S)
             self._records.expire()
             self._peer_records.expire()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
@@ -68,6 +68,6 @@
             log.info("peer_not_greeted", peer=peer, cause=str(error))
             return
         self._holder.note_peer_versions(peer, answer.versions)
-        # The fetch runs in the background: peers take this gateway for dead if its
-        # gossip rounds stop.
+        # The fetch runs in the background and does not delay the next round: the gossip
+        # also shows the peers that this gateway is alive.
         self._fetch_newer(peer, answer.versions)
--- a/tests/adapter/test_translation.py
+++ b/tests/adapter/test_translation.py
@@ -7,10 +7,10 @@
 from result import Ok
 
 from amaranthtally.adapter import headers as names, pieces, store
-from amaranthtally.adapter.answers import read_answer
-from amaranthtally.adapter.callers import call_headers, read_caller_request
+from amaranthtally.adapter.callers import read_caller_request, request_headers
 from amaranthtally.adapter.configuration import read_configuration
-from amaranthtally.adapter.messages import CallHead, EndpointLoad, PromptPart
+from amaranthtally.adapter.messages import EndpointLoad, PromptPart, SystemHeaders
+from amaranthtally.adapter.responses import read_response_head
 from amaranthtally.adapter.servers import read_endpoint
 from amaranthtally.policy import (
     CallKind,
@@ -202,7 +202,9 @@
     request = read_request(
         Accept="x", Connection="X-Hop", **{"X-Hop": "1", names.ACCOUNT: "forged"}
     )
-    sent = call_headers(request, CallHead("i-1", 1.5, "account", ("h1", "h2"), "12", 3))
+    sent = request_headers(
+        request, SystemHeaders("i-1", 1.5, "account", ("h1", "h2"), "12", 3)
+    )
     assert sent["Accept"] == "x"
     assert "X-Hop" not in sent
     assert sent.getall(names.ACCOUNT) == ["account"]
@@ -216,7 +218,7 @@
 
 
 def test_the_head_of_a_response_is_decoded():
-    head = read_answer(
+    head = read_response_head(
         200,
         CIMultiDict(
             {
@@ -235,15 +237,15 @@
 
 
 def test_only_the_header_or_status_421_means_that_nothing_ran():
-    assert read_answer(503, CIMultiDict({names.NOT_EXECUTED: "1"})).not_run
-    assert read_answer(421, CIMultiDict()).not_run
-    assert not read_answer(503, CIMultiDict()).not_run
-    assert not read_answer(429, CIMultiDict()).not_run
+    assert read_response_head(503, CIMultiDict({names.NOT_EXECUTED: "1"})).not_run
+    assert read_response_head(421, CIMultiDict()).not_run
+    assert not read_response_head(503, CIMultiDict()).not_run
+    assert not read_response_head(429, CIMultiDict()).not_run
 
 
 def test_malformed_headers_of_a_response_are_ignored():
     headers = CIMultiDict({names.LOAD: "3,x,8", names.RETRY_AFTER: "soon"})
-    head = read_answer(503, headers)
+    head = read_response_head(503, headers)
     assert (head.load, head.retry_after_s) == (None, 0.0)
 
 
--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -183,10 +183,10 @@
         if request.target.endswith("free"):
             return [complete_response(request, b"{}", signed=False)]
         entries = json.loads(request.body)["entries"]
-        made = {"entries": [{"handle": f"m/{next(serials)}"} for _ in entries]}
+        outcomes = {"entries": [{"handle": f"m/{next(serials)}"} for _ in entries]}
         return [
             0.02,
-            complete_response(request, json.dumps(made).encode(), signed=False),
+            complete_response(request, json.dumps(outcomes).encode(), signed=False),
         ]
 
     return script
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_stages.py
@@ -26,6 +26,8 @@
 
 
 def run_with_cluster(tmp_path, test, stages=GRAPH, **options):
+    """Run a test with a new cluster that has an engine and two stages before it."""
+
     async def run():
         async with open_gateway_cluster(tmp_path) as cluster:
             for pool in ("first", "second"):
@@ -42,6 +44,7 @@
 
 
 def piece_headers(counts):
+    """Return the headers of a request with these numbers of pieces in its stages."""
     return {names.CHUNK_COUNTS: counts, names.CHUNK_KEY: "input"}
 
 
@@ -89,6 +92,7 @@
 
 
 def freed(endpoint):
+    """Return the handles of the results that an endpoint was told to free."""
     frees = [s for s in endpoint.requests if s.target.endswith("free")]
     return {handle for s in frees for handle in json.loads(s.body)["handles"]}
 
@@ -160,14 +164,14 @@
     """
 
     async def check(cluster):
-        asker, owner = await two_gateways(cluster)
+        submitter, owner = await two_gateways(cluster)
         owner.process.send(signal.SIGKILL)
         await owner.process.wait()
-        assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
-        await asker.wait_for_event("peer_lost", peer=owner.process.name)
+        assert (await submitter.call("/ask/", **piece_headers("1,1")))[0] == 200
+        await submitter.wait_for_event("peer_lost", peer=owner.process.name)
         restarted = await cluster.gateway(owner.process.name)
-        await asker.wait_for_event("peer_back", peer=owner.process.name)
-        assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
+        await submitter.wait_for_event("peer_back", peer=owner.process.name)
+        assert (await submitter.call("/ask/", **piece_headers("1,1")))[0] == 200
         assert [x for x in lines_of(restarted) if "endpoint=first" in x]
 
     run_with_cluster(tmp_path, check)
@@ -215,15 +219,15 @@
     """
 
     async def check(cluster):
-        asker, owner = await two_gateways(cluster)
+        submitter, owner = await two_gateways(cluster)
         cluster.first.script = slow_pieces(0.3)
-        call = asyncio.create_task(asker.call("/ask/", **piece_headers("1,1")))
-        await asker.wait_for_event("request_received", pieces="1,1")
+        call = asyncio.create_task(submitter.call("/ask/", **piece_headers("1,1")))
+        await submitter.wait_for_event("request_received", pieces="1,1")
         async with asyncio.timeout(2.0):
             while len(pieces_of(cluster.first)) < 3:
                 await asyncio.sleep(0.02)
-        asker.process.send(signal.SIGTERM)
-        await owner.wait_for_event("peer_left", peer=asker.process.name)
+        submitter.process.send(signal.SIGTERM)
+        await owner.wait_for_event("peer_left", peer=submitter.process.name)
         async with asyncio.timeout(2.0):
             status, _, body = await call
         assert (status, body) == (200, TEXT)
@@ -240,12 +244,12 @@
     """
 
     async def check(cluster):
-        asker, owner = await two_gateways(cluster)
+        submitter, owner = await two_gateways(cluster)
         cluster.store.remove(f"entries/{owner.process.name}")
-        await asker.wait_for_event("peer_doubted", peer=owner.process.name)
+        await submitter.wait_for_event("peer_doubted", peer=owner.process.name)
         for _ in range(8):
-            assert (await asker.call("/ask/", **piece_headers("1,1")))[0] == 200
+            assert (await submitter.call("/ask/", **piece_headers("1,1")))[0] == 200
             await asyncio.sleep(0.5)
-        assert not [x for x in lines_of(asker) if "endpoint=first" in x]
+        assert not [x for x in lines_of(submitter) if "endpoint=first" in x]
 
     run_with_cluster(tmp_path, check)
--- a/tests/gateway/test_thin_links.py
+++ b/tests/gateway/test_thin_links.py
@@ -34,6 +34,7 @@
 
 
 async def open_relay(stack, target, link):
+    """Open a relay to a target over a link until the stack is closed."""
     relay = Relay(target, link)
     await stack.enter_async_context(relay.serve())
     return relay
