--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -255,7 +255,7 @@
         self,
         send: Send,
         endpoint: Endpoint,
-        fate: str,
+        outcome: str,
         cause: str,
         started: float,
     ) -> None:
@@ -265,7 +265,7 @@
             attempt=send.attempt.number,
             endpoint=endpoint.id,
             address=endpoint.address,
-            fate=fate,
+            fate=outcome,
             cause=cause,
             ms=round((self._loop.time() - started) * 1000),
         )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
@@ -52,7 +52,7 @@
     Counts events in plain tallies and copies them to the collectors at each scrape.
 
     That keeps counting cheap. Label values are names of routes and pools, bounded by
-    the configuration, and reasons and fates, of which there are few.
+    the configuration, and reasons and outcomes, of which there are few.
     """
 
     def __init__(self) -> None:
@@ -102,13 +102,15 @@
         """Count a rejected request; without its path, which a caller may invent."""
         self._request_tally[_RequestLabels("", str(status), "rejected")] += 1
 
-    def attempt_ended(self, pool: str, fate: str) -> None:
+    def attempt_ended(self, pool: str, outcome: str) -> None:
         """Count an ended attempt at an endpoint."""
-        self._attempt_tally[_CallLabels(pool, fate)] += 1
+        self._attempt_tally[_CallLabels(pool, outcome)] += 1
 
-    def pieces_ended(self, pool: str, fate: str, pieces: int, seconds: float) -> None:
+    def pieces_ended(
+        self, pool: str, outcome: str, pieces: int, seconds: float
+    ) -> None:
         """Count the pieces of an ended call."""
-        self._piece_tally[_CallLabels(pool, fate)] += pieces
+        self._piece_tally[_CallLabels(pool, outcome)] += pieces
         self._call_seconds.observe({"pool": pool}, seconds)
 
     def store_called(self, transfer: StoreTransfer) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -115,8 +115,8 @@
         running = answer.load.running if answer.load else None
         queued = answer.load.queued if answer.load else 0
         if answer.status != HTTP_OK:
-            fate = "not_run" if answer.not_run else "failed"
-            self._log(order, endpoint, fate, str(answer.status), started)
+            outcome = "not_run" if answer.not_run else "failed"
+            self._log(order, endpoint, outcome, str(answer.status), started)
             return PiecesEnded(refused=answer.not_run, running=running, queued=queued)
         outcomes = pieces.read_outcomes(body, order.pieces)
         if outcomes.is_err():
@@ -129,13 +129,15 @@
         self,
         order: RunPieces,
         endpoint: Endpoint,
-        fate: str,
+        outcome: str,
         cause: str,
         started: float,
     ) -> None:
         duration_s = self._loop.time() - started
         details = order.details
-        self._metrics.pieces_ended(endpoint.pool, fate, len(order.pieces), duration_s)
+        self._metrics.pieces_ended(
+            endpoint.pool, outcome, len(order.pieces), duration_s
+        )
         log.info(
             "pieces_ended",
             call=order.call,
@@ -149,7 +151,7 @@
             memory_kb=_kilobytes(details.memory_bytes),
             shortage=details.shortage,
             requests=",".join(dict.fromkeys(p.request_id for p in order.pieces)),
-            fate=fate,
+            fate=outcome,
             cause=cause,
             ms=round(duration_s * MS_PER_S),
         )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/routing_state.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/routing_state.py
@@ -57,7 +57,7 @@
         return self._table is not None and self._has_endpoints
 
     def initial_settings(self) -> PolicySettings:
-        """Return the policy's settings from before any route or endpoint was read."""
+        """Return the policy's settings at the start, without routes and endpoints."""
         return self._policy_settings()
 
     def apply_table(self, table: RouteTable) -> None:
