--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
@@ -174,7 +174,7 @@
             return client
         address = self._addresses.get(peer)
         if address is None:
-            raise PeerLostError(peer, "its address is not known")
+            raise PeerLostError(peer, "no address is known")
         connecting = self._connecting.get(peer)
         if connecting is None:
             connecting = asyncio.create_task(self._connect(peer, address))
--- a/packages/platform/src/amaranthtally/platform/errors.py
+++ b/packages/platform/src/amaranthtally/platform/errors.py
@@ -17,7 +17,7 @@
     detail: str
 
     def __str__(self) -> str:
-        return f"platform unreachable ({self.detail}); nothing was written, retry later"
+        return f"platform unreachable ({self.detail}); nothing was written, try later"
 
 
 @dataclass(frozen=True, slots=True)
