--- a/packages/policy/src/amaranthtally/policy/admission.py
+++ b/packages/policy/src/amaranthtally/policy/admission.py
@@ -103,7 +103,7 @@
     def _backlog(self, now: float, stage: Stage) -> _Backlog:
         pool = self._loads.pool(stage.pool)
         # While work waits, every slot is taken, and batches are at their slowest.
-        mean_s = self._times.of(stage).peak_mean_s
+        mean_s = self._times.stats_for(stage).peak_mean_s
         return _Backlog(pool.wait_s(now, mean_s), mean_s, pool.pending == 0)
 
     def refused(self, reason: RefusalReason, wait_s: float) -> AdmissionDecision:
--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -111,7 +111,7 @@
             return []
         if not request.current.hedges or not request.may_run_again:
             return []
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         if request.current.streams:
             self._streams.note_quiet(now, attempt, stats)
         # Where work waits, a hedge only makes it wait longer.
@@ -125,7 +125,7 @@
 
     def _first_look_s(self, stage: Stage, choice: Choice) -> float:
         """Return after how much of its run an attempt is first looked at."""
-        stats = self._times.of(stage)
+        stats = self._times.stats_for(stage)
         chunk_s = stats.chunk_time_s(choice.concurrent) if stage.streams else 0.0
         return min(stats.p95_s, FIRST_CHUNKS * chunk_s) if chunk_s else stats.p95_s
 
@@ -161,7 +161,7 @@
         self, now: float, request: Request, avoid: frozenset[str]
     ) -> list[Action]:
         wanted = self._wanted(now, request, avoid)
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         if request.bound_to:
             return self._send_bound(now, request, wanted, stats)
         choice = self._router.choose(now, wanted, stats)
@@ -223,7 +223,7 @@
         self, now: float, request: Request, endpoint: Endpoint
     ) -> list[Action]:
         wanted = self._wanted(now, request, frozenset())
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         choice = self._router.predict(now, wanted, stats, endpoint)
         return self._send(now, request, wanted, choice, probe=True)
 
--- a/packages/policy/src/amaranthtally/policy/outcome_recorder.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -41,7 +41,7 @@
         These runs never report their end. Without their times so far, a stage that has
         become slower than any deadline would keep its earlier, shorter run times.
         """
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         for attempt in request.live.values():
             run_s = now - attempt.sent_at - attempt.wait_s
             if run_s > stats.median_s:
@@ -85,7 +85,7 @@
         load = self._loads.find(ended.endpoint)
         if load is None:
             return
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         if stats.has_enough_samples and not ended.stream.pace_s:
             load.note_run_time(now, result.run_s / stats.loaded_mean_s(ended.beside))
         stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
--- a/packages/policy/src/amaranthtally/policy/stage_times.py
+++ b/packages/policy/src/amaranthtally/policy/stage_times.py
@@ -241,7 +241,7 @@
     def __init__(self) -> None:
         self._stats: dict[tuple[str, str, str], StageStats] = {}
 
-    def of(self, stage: Stage) -> StageStats:
+    def stats_for(self, stage: Stage) -> StageStats:
         """Return the statistics of a stage, which are created at its first use."""
         stats = self._stats.get(stage.key)
         if stats is None:
@@ -260,7 +260,7 @@
         spread_squares = 0.0
         total_s = 0.0
         for stage in stages:
-            stats = self.of(stage)
+            stats = self.stats_for(stage)
             total_s += stats.median_s
             spread_squares += (stats.p90_s - stats.median_s) ** 2
         return total_s + sqrt(spread_squares)
@@ -269,19 +269,19 @@
         """Return the sum of the median run times, in seconds."""
         total_s = 0.0
         for stage in stages:
-            total_s += self.of(stage).median_s
+            total_s += self.stats_for(stage).median_s
         return total_s
 
     def floor_s(self, stages: Sequence[Stage]) -> float:
         """Return the sum of the 5th percentiles of the run times, in seconds."""
         total_s = 0.0
         for stage in stages:
-            total_s += self.of(stage).floor_s
+            total_s += self.stats_for(stage).floor_s
         return total_s
 
     def slowest(self, stages: Sequence[Stage]) -> Stage:
         """Return the stage with the highest 99th percentile of run times."""
-        return max(stages, key=lambda stage: self.of(stage).p99_s)
+        return max(stages, key=lambda stage: self.stats_for(stage).p99_s)
 
     def latest_finish(self, deadline: float, later: Sequence[Stage]) -> float:
         """Return when a stage must end if the ``later`` ones take their median time."""
@@ -294,9 +294,9 @@
         The time left is split in proportion to the 99th percentiles, so that stages
         with more variable run times get more of it.
         """
-        first_s = self.of(stages[0]).p99_s
+        first_s = self.stats_for(stages[0]).p99_s
         total_s = first_s
         for stage in stages[1:]:
-            total_s += self.of(stage).p99_s
+            total_s += self.stats_for(stage).p99_s
         left_s = max(0.0, deadline - now)
         return now + left_s * first_s / max(total_s, 1e-9)
--- a/packages/policy/src/amaranthtally/policy/stream_monitor.py
+++ b/packages/policy/src/amaranthtally/policy/stream_monitor.py
@@ -36,7 +36,7 @@
         load = self._loads.find(endpoint)
         if interval_s <= 0 or load is None:
             return
-        stats = self._times.of(stage)
+        stats = self._times.stats_for(stage)
         beside = load.concurrent(max(0.0, load.occupancy(now) - 1.0))
         usual_s = stats.chunk_time_s(beside)
         if usual_s > 0:
@@ -90,7 +90,7 @@
         self, now: float, request: Request, choice: Choice, end: float
     ) -> float:
         """Return the probability that the rest of a stream ends late elsewhere."""
-        stats = self._times.of(request.current)
+        stats = self._times.stats_for(request.current)
         done_s = request.chunks * stats.chunk_time_s(choice.concurrent)
         slowness = choice.run_s / stats.mean_s
         left_s = (end - now - choice.delay_s) / slowness
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -123,8 +123,8 @@
     times = StageTimes()
     short, long = Stage("encode", "encoder"), Stage("generate", "engine")
     for _ in range(100):
-        times.of(short).add(0.02, 100, 0.0)
-        times.of(long).add(0.9, 100, 0.0)
+        times.stats_for(short).add(0.02, 100, 0.0)
+        times.stats_for(long).add(0.9, 100, 0.0)
     assert times.share_end(0.0, 4.0, (short, long)) < 0.2
     assert times.share_end(0.0, 4.0, (long,)) == 4.0
     assert 3.0 < times.latest_finish(4.0, (long,)) < 3.2
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -108,7 +108,7 @@
 
 
 def test_of_equally_urgent_requests_the_small_go_first(batcher):
-    """A large request, which must begin earlier to be on time, made four small late."""
+    """A large request, which had to begin earlier, made four small ones late."""
     full = [job("r", n, siblings=8, result_bytes=8e3) for n in range(8)]
     (first,) = send(batcher, NOW, *full)
     large = [job("large", n, siblings=8, start_by=9.8) for n in range(8)]
