--- a/tests/lifecycle/support.py
+++ b/tests/lifecycle/support.py
@@ -1,4 +1,4 @@
-"""A fake sidecar that misbehaves, and callers that check what they receive."""
+"""Fake sidecars, most of them faulty, and deployments of an entry with them."""
 
 import asyncio
 import json
@@ -31,17 +31,17 @@
 
 
 def run_with_capnp(work):
-    """Run a scenario on the loop of the system's processes, bounded in time."""
-    run(asyncio.wait_for(_in_kj(work), TEST_TIMEOUT_S))
+    """Run a scenario on the event loop of the daemons with a time limit."""
+    run(asyncio.wait_for(_run_in_kj_loop(work), TEST_TIMEOUT_S))
 
 
-async def _in_kj(work):
+async def _run_in_kj_loop(work):
     async with capnp.kj_loop():
         await work
 
 
 class FakeSidecar:
-    """Answers honestly: the output echoes the input, streams are numbered."""
+    """Replies correctly: the output echoes the input; a stream has numbered chunks."""
 
     def __init__(self, endpoint):
         self.endpoint = endpoint
@@ -75,71 +75,73 @@
 
 
 class SwappingSidecar(FakeSidecar):
-    """Gives the answers of each two calls to the other one."""
+    """Swaps the replies of every two calls."""
 
     def __init__(self, endpoint):
         super().__init__(endpoint)
-        self._waiting = None
+        self._waiting_call = None
 
     async def run(self, call, on_chunk):
         self.calls.append(call)
-        if self._waiting is None:
-            self._waiting = (call, asyncio.get_running_loop().create_future())
-            return await self._swapped(call, self._waiting[1])
-        (other, answer), self._waiting = self._waiting, None
-        answer.set_result(self.reply(call))
-        return self.reply(other)
-
-    async def _swapped(self, call, answer):
-        # An odd call out gets a stranger's id, so that none waits for ever.
+        if self._waiting_call is None:
+            self._waiting_call = (call, asyncio.get_running_loop().create_future())
+            return await self._wait_for_swap(call, self._waiting_call[1])
+        (earlier_call, reply_future), self._waiting_call = self._waiting_call, None
+        reply_future.set_result(self.reply(call))
+        return self.reply(earlier_call)
+
+    async def _wait_for_swap(self, call, reply_future):
+        # A call without a partner gets a reply with an unknown id after 0.5 s, so that
+        # it doesn't wait forever.
         try:
-            return await asyncio.wait_for(asyncio.shield(answer), 0.5)
+            return await asyncio.wait_for(asyncio.shield(reply_future), 0.5)
         except TimeoutError:
-            self._waiting = None
+            self._waiting_call = None
             return replace(self.reply(call), id=CallId("nobody", 0, 1))
 
 
 class RepeatingSidecar(FakeSidecar):
-    """Answers every call with the first call's answer."""
+    """Replies to every call with the first call's reply."""
 
     def __init__(self, endpoint):
         super().__init__(endpoint)
-        self._first = None
+        self._first_reply = None
 
     async def run(self, call, on_chunk):
-        honest = await super().run(call, on_chunk)
-        self._first = self._first or honest
-        return self._first
+        correct_reply = await super().run(call, on_chunk)
+        self._first_reply = self._first_reply or correct_reply
+        return self._first_reply
 
 
 class LateSidecar(FakeSidecar):
     """
-    Answers a first question after its time is over, whether or not it is cancelled.
+    Replies to calls whose input starts with "first" only after their time limit.
 
-    Any other question waits until all the first ones have been answered.
+    It does so even if the call is cancelled. All other calls wait until every "first"
+    call has got its reply.
     """
 
     def __init__(self, endpoint):
         super().__init__(endpoint)
-        self.asked_first = set()
-        self.answered_late = 0
-        self._late = asyncio.Event()
+        self.first_inputs = set()
+        self.late_replies = 0
+        self._late_replies_sent = asyncio.Event()
 
     async def run(self, call, on_chunk):
         text = json.loads(call.input)["input"]
         if not text.startswith("first"):
-            await self._late.wait()
+            await self._late_replies_sent.wait()
             return await super().run(call, on_chunk)
-        self.asked_first.add(text)
-        await _sleep_whole(call.remaining_s + 0.5 / len(self.asked_first))
-        self.answered_late += 1
-        if self.answered_late == len(self.asked_first):
-            self._late.set()
+        self.first_inputs.add(text)
+        await _sleep_uncancelled(call.remaining_s + 0.5 / len(self.first_inputs))
+        self.late_replies += 1
+        if self.late_replies == len(self.first_inputs):
+            self._late_replies_sent.set()
         return await super().run(call, on_chunk)
 
 
-async def _sleep_whole(seconds):
-    """Sleep to the end, also where the caller has cancelled the call."""
+async def _sleep_uncancelled(seconds):
+    """Sleep the full time, even if the task is cancelled."""
     sleep = asyncio.ensure_future(asyncio.sleep(seconds))
     while not sleep.done():
         with suppress(asyncio.CancelledError):
@@ -147,21 +149,21 @@
 
 
 class MixingSidecar(FakeSidecar):
-    """Sends each stream's chunks as another call's, twice and out of order."""
+    """Sends chunks of each stream to another one, repeated and out of order."""
 
     def __init__(self, endpoint):
         super().__init__(endpoint)
         self.streams = []
 
-    async def write_to_others(self, call, stream, entry):
-        """Write this call's chunks where they don't belong."""
-        own = len(self.streams)
+    async def send_misdirected_chunks(self, call, stream, entry):
+        """Send chunks of this call to the stream of another call."""
+        index = len(self.streams)
         self.streams.append(stream)
         await asyncio.sleep(0.05)
-        wrong = self.streams[(own + 1) % len(self.streams)]
+        wrong_stream = self.streams[(index + 1) % len(self.streams)]
         for offset in (1, 0, 0, 2, 1):
             request = entry.chunks_request()
-            part = StreamPart(wrong, call.id, offset, [chunk_text(call, offset)])
+            part = StreamPart(wrong_stream, call.id, offset, [chunk_text(call, offset)])
             write_parts(request, [part])
             with suppress(capnp.KjException):
                 await request.send()
@@ -173,7 +175,7 @@
         await super().hello(entry, revision, settings, _context)
 
     async def run(self, call, stream, _context, **_):
-        await self._handler.write_to_others(read_call(call), stream, self.entry)
+        await self._handler.send_misdirected_chunks(read_call(call), stream, self.entry)
         await super().run(call, stream, _context)
 
 
@@ -199,47 +201,47 @@
 
 
 def chunk_text(call, offset):
-    """Return the words that belong to this call and no other."""
+    """Return the text of a chunk, which is different for each call."""
     return f"{json.loads(call.input)['input']}:{offset} "
 
 
-def whole_text(text):
-    """Return the text that a caller of ``text`` must receive."""
+def complete_text(text):
+    """Return the complete text of a stream whose input is ``text``."""
     return "".join(f"{text}:{offset} " for offset in range(CHUNKS))
 
 
 @asynccontextmanager
 async def fake_deployment(*handlers, streams=False, deadline_ms=4000, **options):
-    """Open an entry before fake sidecars of one pool; yields the deployment."""
-    small = msgspec.structs.replace(plan(), pools=[], settings={})
+    """Open a deployment of an entry with fake sidecars, all in one pool."""
+    base_plan = msgspec.structs.replace(plan(), pools=[], settings={})
     pipeline = {
         "stages": ["echo"],
         "deadline_ms": deadline_ms,
         "stage.echo.pool": "fake",
         "stage.echo.streams": streams,
     }
-    async with open_deployment(small, **options) as deployment:
+    async with open_deployment(base_plan, **options) as deployment:
         await serve_and_register(deployment, *handlers, pipeline=pipeline)
         yield deployment
 
 
 async def serve_and_register(deployment, *handlers, pipeline):
-    """Serve fake sidecars until the deployment ends; register them in the tree."""
-    firm = {}
+    """Serve fake sidecars until the deployment ends, and register their endpoints."""
+    firm_settings = {}
     for handler in handlers:
         port = await deployment._stack.enter_async_context(serve_fake(handler))
-        firm[f"endpoint.{handler.endpoint}"] = {
+        firm_settings[f"endpoint.{handler.endpoint}"] = {
             "pool": "fake",
             "host": f"host-{handler.endpoint}",
             "region": deployment.plan.regions[0].name,
             "data_centre": deployment.plan.regions[0].data_centres[0],
             "address": f"127.0.0.1:{port}",
         }
-    change = await deployment.apply({"firm": firm, "pipeline:echo": pipeline})
+    change = await deployment.apply({"firm": firm_settings, "pipeline:echo": pipeline})
     for number in range(len(deployment.entries)):
         await deployment.wait_revision(change["number"], number)
 
 
 def log_lines(process, event):
-    """Return the log lines of an event."""
+    """Return a process's log lines of an event."""
     return [line for line in process.lines if f"event={event} " in line]
--- a/tests/lifecycle/test_answers.py
+++ b/tests/lifecycle/test_answers.py
@@ -1,4 +1,4 @@
-"""No answer is lost, doubled, or handed to another request."""
+"""No reply is lost, duplicated, or given to another request."""
 
 import asyncio
 
@@ -10,10 +10,10 @@
     MixingSidecar,
     RepeatingSidecar,
     SwappingSidecar,
+    complete_text,
     fake_deployment,
     log_lines,
     run_with_capnp,
-    whole_text,
 )
 from tests.support import parse_events
 
@@ -21,35 +21,34 @@
 
 
 @pytest.mark.parametrize("misbehaving", [SwappingSidecar, RepeatingSidecar])
-def test_a_foreign_answer_reaches_nobody(misbehaving):
+def test_a_reply_to_another_call_is_rejected(faulty_sidecar):
     """
-    A farmer reads the assessment of another farmer's combine. A sidecar swaps the
-    answers of two calls on one connection, or gives an old answer again; the
-    entry took any reply for the call that it had in mind.
+    A caller would get another caller's response if the entry accepted any reply as the
+    reply to the current call: the sidecar swaps the replies of two calls on one
+    connection, or repeats an old reply.
     """
 
     async def scenario():
-        bad, good = misbehaving("fake-1"), FakeSidecar("fake-2")
-        async with fake_deployment(bad, good) as deployment:
-            answers = await asyncio.gather(
+        faulty, correct = faulty_sidecar("fake-1"), FakeSidecar("fake-2")
+        async with fake_deployment(faulty, correct) as deployment:
+            responses = await asyncio.gather(
                 *(deployment.call("echo", f"claim {n}") for n in range(CALLERS))
             )
-            for number, answer in enumerate(answers):
-                document = await answer.json()
-                assert answer.status == 200, document
+            for number, response in enumerate(responses):
+                document = await response.json()
+                assert response.status == 200, document
                 assert document["output"] == {"echo": f"claim {number}"}
-            assert len(bad.calls) > 1
-            refused = log_lines(deployment.entries[0], "attempt_ended")
-            assert any("belongs to another call" in line for line in refused)
+            assert len(faulty.calls) > 1
+            rejected = log_lines(deployment.entries[0], "attempt_ended")
+            assert any("belongs to another call" in line for line in rejected)
 
     run_with_capnp(scenario())
 
 
-def test_late_answers_never_reach_the_next_request():
+def test_late_replies_never_reach_the_next_request():
     """
-    A dispatcher's second question is answered with the first one's words. The
-    first question's answer came after its deadline, on the same connection, while
-    the second was waiting.
+    A request would get the response of an earlier one: the reply to the earlier call
+    arrives after its deadline, on the same connection, while the later call waits.
     """
 
     async def scenario():
@@ -58,61 +57,63 @@
             first = await asyncio.gather(
                 *(deployment.call("echo", f"first {n}") for n in range(CALLERS))
             )
-            asked = frozenset(late.asked_first)
-            assert asked
-            for number, answer in enumerate(first):
-                await assert_late_or_not_run(answer, f"first {number}", asked)
+            sent_inputs = frozenset(late.first_inputs)
+            assert sent_inputs
+            for number, response in enumerate(first):
+                await assert_expired_or_not_run(
+                    response, f"first {number}", sent_inputs
+                )
             second = await asyncio.gather(
                 *(
                     deployment.call("echo", f"second {n}", deadline_ms=4000)
                     for n in range(4)
                 ),
             )
-            assert late.answered_late == len(asked)
-            for number, answer in enumerate(second):
-                document = await answer.json()
-                assert answer.status == 200, document
+            assert late.late_replies == len(sent_inputs)
+            for number, response in enumerate(second):
+                document = await response.json()
+                assert response.status == 200, document
                 assert document["output"] == {"echo": f"second {number}"}
 
     run_with_capnp(scenario())
 
 
-async def assert_late_or_not_run(answer, text, asked):
+async def assert_expired_or_not_run(response, text, sent_inputs):
     """
-    Assert that a question ended by its deadline, or truthfully before it was sent.
+    Assert that a request ended at its deadline, or was refused as not run.
 
-    On a busy host some questions come after the first deadlines have passed, and
-    the entry refuses them on what it has learned.
+    On a busy host some requests arrive after the first deadlines have passed; the
+    entry then knows that the endpoint is slow, and refuses them without a call.
     """
-    document = await answer.json()
-    if text in asked:
-        assert answer.status == 504, document
+    document = await response.json()
+    if text in sent_inputs:
+        assert response.status == 504, document
     else:
-        assert (answer.status, document["outcome"]) == (503, "not_run"), document
+        assert (response.status, document["outcome"]) == (503, "not_run"), document
 
 
-def test_mixed_streams_over_one_connection_stay_apart():
+def test_mixed_up_streams_on_one_connection_stay_separate():
     """
-    Two testers type at once and see tags of each other's bug. The sidecar writes
-    chunks of one stream to the other's sink, twice and out of order; chunks bore
-    no id, so the entry could not tell.
+    Callers would receive chunks of each other's streams: the sidecar sends chunks of
+    one stream to another one, repeated and out of order. Without a call id in the
+    chunks, the entry could not reject them.
     """
 
     async def scenario():
-        bad, good = MixingSidecar("fake-1"), FakeSidecar("fake-2")
-        async with fake_deployment(bad, good, streams=True) as deployment:
-            answers = await asyncio.gather(
+        faulty, correct = MixingSidecar("fake-1"), FakeSidecar("fake-2")
+        async with fake_deployment(faulty, correct, streams=True) as deployment:
+            responses = await asyncio.gather(
                 *(
                     deployment.call("echo", f"bug {n}", stream=True)
                     for n in range(CALLERS)
                 )
             )
-            for number, answer in enumerate(answers):
-                events = parse_events(await answer.text())
+            for number, response in enumerate(responses):
+                events = parse_events(await response.text())
                 assert events[-1][0] == "done", events
                 text = "".join(d["text"] for kind, d in events if kind == "chunk")
-                assert text == whole_text(f"bug {number}")
+                assert text == complete_text(f"bug {number}")
                 assert events[-1][1]["output"]["text"] == text
-            assert len(bad.calls) > 1
+            assert len(faulty.calls) > 1
 
     run_with_capnp(scenario())
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar process for all endpoints of its host."""
+"""One sidecar process that serves all endpoints of its host."""
 
 import asyncio
 import re
@@ -16,24 +16,25 @@
     token,
 )
 from tests.at_most_once.test_handover import place_orders, repeat_all
-from tests.lifecycle.model_support import DEADLINE_MS, by_model, model_plan
+from tests.lifecycle.model_support import DEADLINE_MS, calls_by_model, model_plan
 from tests.lifecycle.support import log_lines
 from tests.settings.helpers import admin, propose, set_value
 from tests.support import run_async
 
 NAME = re.compile(r" name=(\S+) .*port=(\d+) http=(\d+)")
 HOST = "host-shared"
-# A call to an engine that stands still is given up after half of this, and a busy
-# host has to run the rest of it elsewhere in the other half.
-PATIENT_MS = 16_000
+# The entry gives a hung call up after half of this; the other half is left for running
+# it at another endpoint, also on a busy host.
+LONG_DEADLINE_MS = 16_000
 
 
 @asynccontextmanager
-async def host_of(deployment, *pairs):
+async def shared_sidecar(deployment, *pairs):
     """
-    Stand one sidecar process before the services of some endpoints.
+    Replace the sidecars of some endpoints by one shared sidecar process.
 
-    Their own sidecars are stopped; the registrations name the new one.
+    The former sidecars are stopped, and the endpoints are registered with the addresses
+    of the shared one.
     """
     kinds = {pool.name: pool.kind for pool in deployment.plan.pools}
     shared = {
@@ -57,16 +58,16 @@
     }
     file = deployment.write_settings("shared", shared)
     process = await deployment.start_daemon("sidecar", "shared", file)
-    while len(found := log_lines(process, "listening")) < len(pairs):
+    while len(lines := log_lines(process, "listening")) < len(pairs):
         await asyncio.sleep(0.02)
-    ports = {m[1]: int(m[2]) for line in found if (m := NAME.search(line))}
+    ports = {m[1]: int(m[2]) for line in lines if (m := NAME.search(line))}
     ops = [
         set_value(
             f"endpoint.{pair.id}",
             {
                 **pair.registration(),
                 "host": HOST,
-                # The entry's own: it binds to endpoints of its region first.
+                # The entry's region, because it prefers local endpoints for bindings.
                 "region": deployment.plan.regions[0].name,
                 "address": f"127.0.0.1:{ports[pair.id]}",
             },
@@ -79,22 +80,22 @@
     for pair in pairs:
         assert await pair.sidecar.stop() == 0
     for number in range(len(deployment.entries)):
-        await wait_taking(deployment, number, {pair.id for pair in pairs})
+        await wait_until_available(deployment, number, {pair.id for pair in pairs})
     yield process
 
 
-async def wait_taking(deployment, number, endpoints):
-    """Return once an entry has heard endpoints say that they take work."""
+async def wait_until_available(deployment, number, endpoints):
+    """Return once endpoints have reported to an entry that they take calls."""
     while True:
         rows = (await admin(deployment, "endpoints", number))["endpoints"]
-        taking = {row["id"] for row in rows if row["heard"] and not row["leaving"]}
-        if endpoints <= taking:
+        available = {row["id"] for row in rows if row["heard"] and not row["leaving"]}
+        if endpoints <= available:
             return
-        await call_any(deployment, number)
+        await send_request(deployment, number)
 
 
-async def call_any(deployment, number):
-    """Send a request that does nothing lasting, so that the entry looks around."""
+async def send_request(deployment, number):
+    """Send a request without an effect, so that the entry contacts its endpoints."""
     name = next(iter(deployment.plan.settings)).removeprefix("pipeline:")
     if name == PIPELINE:
         await token(deployment, number)
@@ -102,83 +103,93 @@
         await deployment.call(name, "claim", entry=number, deadline_ms=DEADLINE_MS)
 
 
-def test_the_endpoints_of_a_host_keep_their_records_apart_and_hand_all_on():
+def test_endpoints_of_a_host_keep_separate_records_and_hand_over_all():
     """
-    A dispatch order is doubled, or its repeat hears "unknown", after a host with two
-    services was stopped: its one sidecar mixed their records up, or handed on those
-    of one service only.
+    A dispatch order would run twice, or its repeat would get the outcome ``unknown``,
+    if the shared sidecar of two services mixed up their records, or handed over those
+    of only one service when it is stopped.
     """
 
     async def scenario():
         async with effects_deployment(entries=1, servers=3) as deployment:
-            first, second, other = deployment.pool("dispatch")
-            async with host_of(deployment, first, second) as host:
+            first, second, third = deployment.pool("dispatch")
+            async with shared_sidecar(deployment, first, second) as host:
                 outputs = await place_orders(deployment)
                 assert len(await effects(deployment)) == len(outputs)
                 assert await repeat_all(deployment, outputs) == []
                 shared = [await deployment.records(p.service) for p in (first, second)]
                 assert all(shared)
                 assert await host.stop() == 0
-                assert other.sidecar.exit_code is None
+                assert third.sidecar.exit_code is None
                 assert await repeat_all(deployment, outputs) == []
                 assert len(await effects(deployment)) == len(outputs)
-                left = {
+                stopped = {
                     line.rpartition("=")[2]
                     for line in log_lines(host, "sidecar_stopped")
                 }
-                assert left == {first.id, second.id}
+                assert stopped == {first.id, second.id}
 
     run_async(scenario())
 
 
-def test_a_stuck_endpoint_holds_up_no_other_of_its_host():
+def test_a_hung_endpoint_delays_no_other_of_its_host():
     """
-    All services of a host stand still because one of them does: they share a process,
-    and the calls that hang take the places of the others.
+    A hung service would block all services of its host: they share a sidecar process,
+    and the hung calls would occupy the slots of the others.
     """
 
     async def scenario():
         async with open_deployment(model_plan(2)) as deployment:
-            stuck, sound = deployment.pool("assessment")
-            async with host_of(deployment, stuck, sound) as host:
-                stuck.service.send(signal.SIGSTOP)
+            hung, healthy = deployment.pool("assessment")
+            async with shared_sidecar(deployment, hung, healthy) as host:
+                hung.service.send(signal.SIGSTOP)
                 calls = [
-                    deployment.call("assessment", f"claim {n}", deadline_ms=PATIENT_MS)
+                    deployment.call(
+                        "assessment", f"claim {n}", deadline_ms=LONG_DEADLINE_MS
+                    )
                     for n in range(12)
                 ]
-                answers = await asyncio.gather(*calls)
-                assert [a.status for a in answers] == [200] * len(answers)
+                responses = await asyncio.gather(*calls)
+                assert [a.status for a in responses] == [200] * len(responses)
                 url = f"http://127.0.0.1:{host.ports['http']}/metrics"
                 async with deployment.http.get(url) as response:
                     text = await response.text()
-                for pair in (stuck, sound):
+                for pair in (hung, healthy):
                     assert f'amaranthtally_calls_limit{{endpoint="{pair.id}"}}' in text
-                stuck.service.send(signal.SIGCONT)
-                assert sum((await by_model(deployment)).values()) >= len(answers)
+                hung.service.send(signal.SIGCONT)
+                assert sum((await calls_by_model(deployment)).values()) >= len(
+                    responses
+                )
 
     run_async(scenario())
 
 
-SHARED = """
+HOST_SETTINGS = """
 host = "host-1"
 region = "cluj"
 data_centre = "cluj-1"
 http_address = "127.0.0.1:0"
 concurrency = 8
 """
-ONE = """
+FIRST_ENDPOINT = """
 [[endpoints]]
 endpoint = "encoder-1"
 wire_address = "127.0.0.1:7001"
 endpoint_url = "http://127.0.0.1:9"
 endpoint_kind = "encoder"
 """
-TWO = ONE.replace("encoder-1", "encoder-2").replace("7001", "7002").replace(":9", ":8")
+SECOND_ENDPOINT = (
+    FIRST_ENDPOINT.replace("encoder-1", "encoder-2")
+    .replace("7001", "7002")
+    .replace(":9", ":8")
+)
 
 
-def test_a_host_file_shares_what_its_endpoints_do_not_set(tmp_path):
+def test_a_host_file_sets_defaults_for_its_endpoints(tmp_path):
     path = tmp_path / "host.toml"
-    path.write_text(SHARED + ONE + TWO + "concurrency = 2\n")
+    path.write_text(
+        HOST_SETTINGS + FIRST_ENDPOINT + SECOND_ENDPOINT + "concurrency = 2\n"
+    )
     first, second = load_host_settings(path)
     assert (first.endpoint, first.concurrency) == ("encoder-1", 8)
     assert (second.endpoint, second.concurrency) == ("encoder-2", 2)
@@ -187,14 +198,17 @@
 @pytest.mark.parametrize(
     ("text", "remedy"),
     [
-        (SHARED + ONE + ONE, "the same for two endpoints"),
-        (SHARED + 'endpoint = "x"\n' + ONE, "move it below"),
-        (SHARED + ONE + 'host = "host-2"\n', "move it above"),
-        (SHARED + ONE + "concurency = 2\n", "did you mean 'concurrency'?"),
-        (SHARED + "endpoints = []\n", "one [[endpoints]] for each"),
+        (HOST_SETTINGS + FIRST_ENDPOINT + FIRST_ENDPOINT, "the same for two endpoints"),
+        (HOST_SETTINGS + 'endpoint = "x"\n' + FIRST_ENDPOINT, "move it below"),
+        (HOST_SETTINGS + FIRST_ENDPOINT + 'host = "host-2"\n', "move it above"),
+        (
+            HOST_SETTINGS + FIRST_ENDPOINT + "concurency = 2\n",
+            "did you mean 'concurrency'?",
+        ),
+        (HOST_SETTINGS + "endpoints = []\n", "one [[endpoints]] for each"),
     ],
 )
-def test_a_wrong_host_file_is_refused_with_its_remedy(tmp_path, text, remedy):
+def test_an_invalid_host_file_is_rejected_with_a_remedy(tmp_path, text, remedy):
     path = tmp_path / "host.toml"
     path.write_text(text)
     with pytest.raises(SettingsFileError) as caught:
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -1,4 +1,4 @@
-"""An endpoint that leaves receives nothing new, by whichever word it leaves."""
+"""An endpoint that leaves gets no new calls, however the entry learns of it."""
 
 import asyncio
 import signal
@@ -23,80 +23,86 @@
 CALLS = 12
 
 
-async def answers(deployment, count=CALLS, entry=0):
-    """Send requests at once; each must be answered whole."""
-    sent = (deployment.call("assessment", f"claim {n}", entry) for n in range(count))
-    for answer in await asyncio.gather(*sent):
-        assert answer.status == 200, await answer.text()
+async def send_requests(deployment, count=CALLS, entry=0):
+    """Send concurrent requests, each of which must succeed."""
+    calls = (deployment.call("assessment", f"claim {n}", entry) for n in range(count))
+    for response in await asyncio.gather(*calls):
+        assert response.status == 200, await response.text()
 
 
 async def wait_logged(process, event, text):
-    """Return once a process has logged an event that holds ``text``."""
+    """Return once a process has logged an event whose line contains ``text``."""
     while not any(text in line for line in log_lines(process, event)):
         await asyncio.sleep(0.05)
 
 
-async def effects(deployment, pair):
+async def call_count(deployment, pair):
     return len(await deployment.records(pair.service))
 
 
-def test_a_drained_host_gets_nothing_until_it_is_undrained():
+def test_a_drained_host_gets_no_calls_until_it_is_undrained():
     """
-    An operator drains a host and pulls its plug; requests die with it. Entries
-    went on sending there: its sidecar still said that it takes work.
+    Requests would fail when an operator switches off a drained host, if entries kept
+    sending to it because its sidecar still reports that it takes calls.
     """
 
     async def scenario():
         async with open_deployment(plan(), servers=2) as deployment:
-            left, stays = deployment.pool("assessment")
-            change = await deployment.apply({"firm": {f"drain.{left.host}": True}})
+            drained_pair, available_pair = deployment.pool("assessment")
+            change = await deployment.apply(
+                {"firm": {f"drain.{drained_pair.host}": True}}
+            )
             await deployment.wait_revision(change["number"])
-            before = await effects(deployment, left)
-            await answers(deployment)
-            assert await effects(deployment, left) == before
-            assert await effects(deployment, stays) >= CALLS
-            change = await deployment.apply({"firm": {f"drain.{left.host}": False}})
-            await wait_logged(deployment.entries[0], "endpoint_back", left.id)
-            # With nobody else to choose, it has to take them all.
-            change = await deployment.apply({"firm": {f"drain.{stays.host}": True}})
+            before = await call_count(deployment, drained_pair)
+            await send_requests(deployment)
+            assert await call_count(deployment, drained_pair) == before
+            assert await call_count(deployment, available_pair) >= CALLS
+            change = await deployment.apply(
+                {"firm": {f"drain.{drained_pair.host}": False}}
+            )
+            await wait_logged(deployment.entries[0], "endpoint_back", drained_pair.id)
+            # Drain the other host, so that this one must get all calls.
+            change = await deployment.apply(
+                {"firm": {f"drain.{available_pair.host}": True}}
+            )
             await deployment.wait_revision(change["number"])
-            await answers(deployment)
-            assert await effects(deployment, left) >= before + CALLS
+            await send_requests(deployment)
+            assert await call_count(deployment, drained_pair) >= before + CALLS
 
     run_async(scenario())
 
 
-def test_a_host_on_the_platforms_list_gets_nothing():
+def test_a_host_listed_as_leaving_gets_no_calls():
     """
-    The platform takes a host away under a request. Its list said so for a minute;
-    nobody read it.
+    Requests would fail when the platform removes a host, if entries did not read the
+    platform's list of leaving hosts, which names the host a minute before.
     """
 
     async def scenario():
         async with open_deployment(plan(), servers=2) as deployment:
-            left, _ = deployment.pool("assessment")
-            url = f"{deployment.platform_url}/_hosts/{left.host}/leaving"
+            leaving_pair, _ = deployment.pool("assessment")
+            url = f"{deployment.platform_url}/_hosts/{leaving_pair.host}/leaving"
             await (await deployment.http.put(url)).read()
-            await wait_logged(deployment.entries[0], "endpoint_out", left.id)
-            before = await effects(deployment, left)
-            await answers(deployment)
-            assert await effects(deployment, left) == before
+            await wait_logged(deployment.entries[0], "endpoint_out", leaving_pair.id)
+            before = await call_count(deployment, leaving_pair)
+            await send_requests(deployment)
+            assert await call_count(deployment, leaving_pair) == before
 
     run_async(scenario())
 
 
-def test_a_leaving_sidecar_refuses_whatever_an_entry_believes():
+def test_a_leaving_sidecar_refuses_calls_of_an_unaware_entry():
     """
-    Work reaches a sidecar that is about to end. An entry cut off from the platform
-    and from news believes that the endpoint takes work.
+    Calls would reach a sidecar that is about to end: an entry without a connection to
+    the platform, and without a recent load report, still sends calls to it.
     """
 
     async def scenario():
-        slow = {"drain_wait": 30.0}
+        slow_drain = {"drain_wait": 30.0}
         async with open_deployment(
-            plan(), servers=1, sidecar_overrides=slow
+            plan(), servers=1, sidecar_overrides=slow_drain
         ) as deployment:
-            await answers(deployment, 1)
+            await send_requests(deployment, 1)
             (pair,) = deployment.pool("encoder")
             port = pair.sidecar.ports["port"]
             client = await connect_sidecar("127.0.0.1", port, 1.0)
@@ -114,45 +120,45 @@
             assert reply.status is Status.NOT_RUN
             assert reply.load.leaving
             await wait_logged(deployment.entries[0], "endpoint_out", pair.id)
-            answer = await deployment.call("assessment", "claim")
-            assert (await answer.json())["outcome"] == "not_run"
+            response = await deployment.call("assessment", "claim")
+            assert (await response.json())["outcome"] == "not_run"
             client.close()
 
     run_with_capnp(scenario())
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
-def test_a_host_that_goes_without_a_word_costs_no_answer(number):
+def test_a_host_that_fails_without_notice_loses_no_response(signal_number):
     """
-    A rack loses power, or a host hangs with its connections open. Nobody said that
-    it leaves; requests sent there wait until their deadline.
+    A rack loses power, or a host hangs with open connections, without notice. Requests
+    sent to it would wait until their deadline.
     """
 
     async def scenario():
         async with open_deployment(plan(), servers=2) as deployment:
-            await answers(deployment)
+            await send_requests(deployment)
             for name in ("encoder", "assessment"):
                 pair = deployment.pool(name)[0]
-                pair.sidecar.send(number)
-                pair.service.send(number)
+                pair.sidecar.send(signal_number)
+                pair.service.send(signal_number)
             for _ in range(4):
-                await answers(deployment)
+                await send_requests(deployment)
 
     run_async(scenario())
 
 
-def test_a_restarted_sidecar_gets_work_again():
+def test_a_restarted_sidecar_gets_calls_again():
     """
-    After a rolling restart every request is refused. Entries remembered that each
-    sidecar was leaving and never asked its successor.
+    Every request would be refused after a rolling restart, if entries kept the report
+    that a sidecar is leaving and never polled its successor.
     """
 
     async def scenario():
         async with open_deployment(plan(), servers=1) as deployment:
-            await answers(deployment)
+            await send_requests(deployment)
             for pair in deployment.endpoints.values():
-                old = pair.sidecar
-                assert await old.stop() == 0
+                old_sidecar = pair.sidecar
+                assert await old_sidecar.stop() == 0
                 pair.sidecar = await deployment.start_daemon(
                     "sidecar", pair.id, pair.sidecar_file
                 )
@@ -163,16 +169,16 @@
             change = await deployment.apply({"firm": registered})
             await deployment.wait_revision(change["number"])
             for pair in deployment.endpoints.values():
-                out = log_lines(deployment.entries[0], "endpoint_out")
-                if any(f"endpoint={pair.id}" in line for line in out):
+                lines = log_lines(deployment.entries[0], "endpoint_out")
+                if any(f"endpoint={pair.id}" in line for line in lines):
                     await wait_logged(deployment.entries[0], "endpoint_back", pair.id)
-            await answers(deployment)
+            await send_requests(deployment)
 
     run_async(scenario())
 
 
 class LeavingSidecar(FakeSidecar):
-    """Leaves without having told anyone."""
+    """Refuses every call because it is leaving, without an earlier report."""
 
     async def run(self, call, on_chunk):
         from amaranthtally.wire import Load, StageReply
@@ -182,19 +188,19 @@
         return StageReply(call.id, Status.NOT_RUN, reason="leaving", load=load)
 
 
-def test_refusals_of_leaving_sidecars_use_up_no_retries():
+def test_refusals_of_leaving_sidecars_do_not_count_as_retries():
     """
-    A rolling restart refuses requests though one endpoint takes work. Each sidecar
-    that leaves refuses the stage before start, and every refusal was counted as a
-    failed try.
+    Requests would be refused during a rolling restart although one endpoint takes
+    calls: each leaving sidecar refuses the call without running it, and these refusals
+    must not count as failed attempts.
     """
 
     async def scenario():
         leaving = [LeavingSidecar(f"fake-{n}") for n in range(6)]
-        stays = FakeSidecar("fake-7")
-        async with fake_deployment(*leaving, stays) as deployment:
-            answer = await deployment.call("echo", "claim")
-            assert answer.status == 200, await answer.text()
+        available = FakeSidecar("fake-7")
+        async with fake_deployment(*leaving, available) as deployment:
+            response = await deployment.call("echo", "claim")
+            assert response.status == 200, await response.text()
             for sidecar in leaving:
                 assert len(sidecar.calls) <= 1
 
--- a/tests/lifecycle/test_model_changes.py
+++ b/tests/lifecycle/test_model_changes.py
@@ -1,4 +1,4 @@
-"""Changes of models, versions and roles under load cut no request."""
+"""Changes of models, versions and roles under load interrupt no request."""
 
 import asyncio
 import signal
@@ -7,25 +7,25 @@
 
 from amaranthtally.standins.deployment import open_deployment
 from tests.lifecycle.model_support import (
-    AT_PIPELINE,
     DEADLINE_MS,
-    FAST,
-    NEW,
-    OLD,
+    FAST_UNLOAD,
+    NEW_MODEL,
+    OLD_MODEL,
+    PIPELINE_SCOPE,
     SWITCH_KEY,
     TOKEN_TIME_S,
     TOKENS,
-    by_model,
-    callers,
-    change,
+    calls_by_model,
+    commit_change,
+    concurrent_callers,
+    endpoint_rows,
     engine_records,
     engine_state,
     model_plan,
     registrations,
-    rows,
-    start_with_old,
-    wait_models,
-    wait_served,
+    start_with_old_model,
+    wait_until_loaded,
+    wait_until_served,
 )
 from tests.lifecycle.support import log_lines
 from tests.settings.helpers import propose, set_value, start_sidecar_beside
@@ -34,31 +34,39 @@
 
 def test_a_version_is_rolled_out_and_back_under_load():
     """
-    Dispatchers get refusals or half answers while a new version comes, or some get
-    the old version long after the switch. Engines give the old one up too early, or
-    are asked for the new one before they have it.
+    Callers would get refusals or partial responses during a roll-out, or the old
+    version long after the switch, if engines unloaded the old version too early or got
+    calls for the new one before they have loaded it.
     """
 
     async def scenario():
-        async with open_deployment(model_plan(3), sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
-            async with callers(deployment) as load:
-                for old, new in ((OLD, NEW), (NEW, OLD)):
-                    await load.some_more()
-                    await change(deployment, *registrations(deployment, old, new))
-                    await wait_models(deployment, old, new)
-                    await wait_served(deployment, old, new)
-                    await change(deployment, set_value(SWITCH_KEY, new, AT_PIPELINE))
-                    await load.some_more()
-                    await load.some_more()
-                    before = sum((await by_model(deployment)).values())
-                    await change(deployment, *registrations(deployment, new))
-                    await load.some_more()
-                    await wait_models(deployment, new)
-                    await load.some_more()
-                    assert before < sum((await by_model(deployment)).values())
-            assert [a for a in load.answers if a[0] != 200] == []
-            assert sum((await by_model(deployment)).values()) >= len(load.answers)
+        async with open_deployment(
+            model_plan(3), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
+            async with concurrent_callers(deployment) as load:
+                for old, new in ((OLD_MODEL, NEW_MODEL), (NEW_MODEL, OLD_MODEL)):
+                    await load.wait_for_more()
+                    await commit_change(
+                        deployment, *registrations(deployment, old, new)
+                    )
+                    await wait_until_loaded(deployment, old, new)
+                    await wait_until_served(deployment, old, new)
+                    await commit_change(
+                        deployment, set_value(SWITCH_KEY, new, PIPELINE_SCOPE)
+                    )
+                    await load.wait_for_more()
+                    await load.wait_for_more()
+                    before = sum((await calls_by_model(deployment)).values())
+                    await commit_change(deployment, *registrations(deployment, new))
+                    await load.wait_for_more()
+                    await wait_until_loaded(deployment, new)
+                    await load.wait_for_more()
+                    assert before < sum((await calls_by_model(deployment)).values())
+            assert [a for a in load.responses if a[0] != 200] == []
+            assert sum((await calls_by_model(deployment)).values()) >= len(
+                load.responses
+            )
             assert not [r for r in await engine_records(deployment) if "cut" in r]
 
     run_async(scenario())
@@ -66,132 +74,164 @@
 
 def test_after_the_switch_only_the_new_version_answers():
     """
-    A repair procedure of the old version goes out an hour after the switch. An entry
-    or a sidecar still takes the old version for what the pipeline asks for.
+    A caller would get a response of the old version long after the switch, if an entry
+    or a sidecar still used the old version for the pipeline.
     """
 
     async def scenario():
-        async with open_deployment(model_plan(2), sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
-            await change(deployment, *registrations(deployment, OLD, NEW))
-            await wait_models(deployment, OLD, NEW)
+        async with open_deployment(
+            model_plan(2), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
             await deployment.call("assessment", "claim", deadline_ms=DEADLINE_MS)
-            assert set(await by_model(deployment)) == {OLD}
-            await wait_served(deployment, NEW, OLD)
-            old = (await by_model(deployment))[OLD]
-            await change(deployment, set_value(SWITCH_KEY, NEW, AT_PIPELINE))
+            assert set(await calls_by_model(deployment)) == {OLD_MODEL}
+            await wait_until_served(deployment, NEW_MODEL, OLD_MODEL)
+            old = (await calls_by_model(deployment))[OLD_MODEL]
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
+            )
             for _ in range(4):
-                answer = await deployment.call("assessment", "claim")
-                assert answer.status == 200
-            assert await by_model(deployment) == {OLD: old, NEW: 4}
+                response = await deployment.call("assessment", "claim")
+                assert response.status == 200
+            assert await calls_by_model(deployment) == {OLD_MODEL: old, NEW_MODEL: 4}
 
     run_async(scenario())
 
 
 def two_stage_plan():
-    """Return the plan with a slow stage before the one that asks for a model."""
-    small = model_plan(2)
+    """Return the plan with a slow stage before the stage that uses a model."""
+    base_plan = model_plan(2)
     encoders = [p for p in plan().pools if p.name == "encoder"]
-    slow = msgspec.structs.replace(encoders[0], servers=1, knobs={"service": 2.0})
-    pipeline = {**small.settings[AT_PIPELINE], "stages": ["encode", "generate"]}
+    slow_pool = msgspec.structs.replace(encoders[0], servers=1, knobs={"service": 2.0})
+    pipeline = {**base_plan.settings[PIPELINE_SCOPE], "stages": ["encode", "generate"]}
     pipeline["stage.encode.pool"] = "encoder"
     return msgspec.structs.replace(
-        small, pools=[*small.pools, slow], settings={AT_PIPELINE: pipeline}
+        base_plan,
+        pools=[*base_plan.pools, slow_pool],
+        settings={PIPELINE_SCOPE: pipeline},
     )
 
 
-def test_a_request_between_its_stages_ends_with_its_model():
+def test_a_request_between_stages_completes_with_its_model():
     """
-    An accepted request is refused two seconds later: while its first stage ran, a
-    script switched the pipeline and took the old version off all engines, which gave
-    it up at once, since no call of it ran.
+    An accepted request would be refused after two seconds: while its first stage runs,
+    the pipeline is switched and the old version is removed from all engines. As no call
+    of the old version is running, the engines would unload it at once.
     """
 
     async def scenario():
         async with open_deployment(
-            two_stage_plan(), sidecar_overrides=FAST
+            two_stage_plan(), sidecar_overrides=FAST_UNLOAD
         ) as deployment:
             pairs = deployment.pool("assessment")
-            await change(deployment, *registrations(deployment, OLD, NEW))
-            await wait_models(deployment, OLD, NEW)
-            await change(deployment, set_value(SWITCH_KEY, OLD, AT_PIPELINE))
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, OLD_MODEL, PIPELINE_SCOPE)
+            )
             (encoder,) = deployment.pool("encoder")
-            early = asyncio.create_task(deployment.call("assessment", "claim"))
+            early_call = asyncio.create_task(deployment.call("assessment", "claim"))
             url = f"http://127.0.0.1:{encoder.service.ports['port']}/_calls"
             while True:
-                async with deployment.http.get(url) as found:
-                    if await found.json():
+                async with deployment.http.get(url) as response:
+                    if await response.json():
                         break
-            await change(deployment, set_value(SWITCH_KEY, NEW, AT_PIPELINE))
-            await change(deployment, *registrations(deployment, NEW))
-            answer = await early
-            assert answer.status == 200, await answer.text()
-            assert set(await by_model(deployment)) == {OLD}
-            await wait_models(deployment, NEW, pairs=pairs)
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
+            )
+            await commit_change(deployment, *registrations(deployment, NEW_MODEL))
+            response = await early_call
+            assert response.status == 200, await response.text()
+            assert set(await calls_by_model(deployment)) == {OLD_MODEL}
+            await wait_until_loaded(deployment, NEW_MODEL, pairs=pairs)
 
     run_async(scenario())
 
 
-def test_a_switch_to_what_is_not_loaded_is_refused():
+def test_a_switch_to_a_model_that_is_not_loaded_is_refused():
     """
-    Every request is refused until the weights have come: the pipeline was switched
-    while the store still throttled the new version.
+    Every request would be refused until the weights are loaded, if a pipeline could be
+    switched while the weight store still throttles the download of the new version.
     """
 
     async def scenario():
-        async with open_deployment(model_plan(2), sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
-            await wait_served(deployment, OLD)
+        async with open_deployment(
+            model_plan(2), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
+            await wait_until_served(deployment, OLD_MODEL)
             await deployment.set_knobs(deployment.platform, weight_rate=1000.0)
-            await change(deployment, *registrations(deployment, OLD, NEW))
-            switch = set_value(SWITCH_KEY, NEW, AT_PIPELINE)
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
+            switch = set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
             status, document = await propose(deployment, [switch])
             assert status == 422, document
-            assert "amaranthtally endpoints" in str(document) or OLD in str(document)
-            answer = await deployment.call("assessment", "claim")
-            assert answer.status == 200
+            assert "amaranthtally endpoints" in str(document) or OLD_MODEL in str(
+                document
+            )
+            response = await deployment.call("assessment", "claim")
+            assert response.status == 200
 
     run_async(scenario())
 
 
-def test_a_pipeline_without_requests_is_switched_to_what_was_loaded():
-    """Operators can't switch a pipeline that nobody calls: "not loaded" for ever."""
+def test_a_pipeline_without_requests_can_switch_to_a_loaded_model():
+    """Operators could never switch an unused pipeline: refused as "not loaded"."""
 
     async def scenario():
-        async with open_deployment(model_plan(2), sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
-            await change(deployment, *registrations(deployment, OLD, NEW))
-            await wait_models(deployment, OLD, NEW)
-            await wait_served(deployment, OLD, NEW)
-            await change(deployment, set_value(SWITCH_KEY, NEW, AT_PIPELINE))
-            assert not await by_model(deployment)
+        async with open_deployment(
+            model_plan(2), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
+            await wait_until_served(deployment, OLD_MODEL, NEW_MODEL)
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
+            )
+            assert not await calls_by_model(deployment)
 
     run_async(scenario())
 
 
-def test_an_unload_waits_for_a_stream_that_runs():
+def test_an_unload_waits_for_running_streams():
     """
-    A mechanic's procedure stops in the middle and starts anew in other words: the
-    operators took the model off the engine that was writing it.
+    A stream would stop in the middle and start again with another text, if an engine
+    unloaded a model while it generates a stream with it.
     """
 
     async def scenario():
-        slow = model_plan(1, token_time=TOKEN_TIME_S, tokens=400)
-        async with open_deployment(slow, sidecar_overrides=FAST) as deployment:
+        slow_plan = model_plan(1, token_time=TOKEN_TIME_S, tokens=400)
+        async with open_deployment(
+            slow_plan, sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
             (pair,) = deployment.pool("assessment")
-            await start_with_old(deployment)
-            await change(deployment, *registrations(deployment, OLD, NEW))
-            await wait_models(deployment, OLD, NEW)
+            await start_with_old_model(deployment)
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
             stream = asyncio.create_task(
                 deployment.call("assessment", "axle", stream=True, deadline_ms=60_000)
             )
-            while not await by_model(deployment):
+            while not await calls_by_model(deployment):
                 await asyncio.sleep(0.02)
-            await change(deployment, set_value(SWITCH_KEY, NEW, AT_PIPELINE))
-            await change(deployment, *registrations(deployment, NEW))
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
+            )
+            await commit_change(deployment, *registrations(deployment, NEW_MODEL))
             events = parse_events(await (await stream).text())
             assert events[-1][0] == "done", events[-1]
-            await wait_models(deployment, NEW)
+            await wait_until_loaded(deployment, NEW_MODEL)
             records = await deployment.records(pair.service)
             assert not [r for r in records if "cut" in r]
             assert len([r for r in records if "request_id" in r]) == 1
@@ -199,119 +239,136 @@
     run_async(scenario())
 
 
-def test_a_late_unload_of_a_former_holder_is_made_good():
+def test_a_late_unload_by_a_former_lease_holder_is_corrected():
     """
-    Requests fail for good after an engine ignored numbers and obeyed an unload that
-    a paused sidecar had begun an hour ago. The sidecar still says that the model is
-    there; the engine says 404.
+    Requests would fail permanently after an engine that ignores fencing numbers has
+    executed the late unload order of a sidecar that was paused. The current sidecar
+    still reports the model as loaded, and the engine responds 404.
     """
 
     async def scenario():
         async with open_deployment(
-            model_plan(2, fencing=False), sidecar_overrides=FAST
+            model_plan(2, fencing=False), sidecar_overrides=FAST_UNLOAD
         ) as deployment:
-            await start_with_old(deployment)
-            await wait_served(deployment, OLD)
+            await start_with_old_model(deployment)
+            await wait_until_served(deployment, OLD_MODEL)
             first, _ = deployment.pool("assessment")
-            late = {"fencing": 0, "action": "unload", "model": "assessment-7b"}
-            late["version"] = "1"
+            late_order = {"fencing": 0, "action": "unload", "model": "assessment-7b"}
+            late_order["version"] = "1"
             async with deployment.http.post(
-                first.service_url + "/v1/orders", json=late
+                first.service_url + "/v1/orders", json=late_order
             ) as response:
                 assert response.status == 200
             assert (await engine_state(deployment, first))["models"] == []
-            async with callers(deployment) as load:
-                await wait_models(deployment, OLD)
-                await load.some_more()
-            assert [a for a in load.answers if a[0] != 200] == []
+            async with concurrent_callers(deployment) as load:
+                await wait_until_loaded(deployment, OLD_MODEL)
+                await load.wait_for_more()
+            assert [a for a in load.responses if a[0] != 200] == []
 
     run_async(scenario())
 
 
-def test_a_former_holder_with_old_settings_orders_nothing():
+def test_a_former_lease_holder_with_old_settings_sends_no_order():
     """
-    The new version vanishes from an engine minutes after its roll-out. A sidecar was
-    paused before the change and replaced; it wakes with the old settings, takes the
-    lease like anyone, and brings the engine back to what they say.
+    The new version would be removed from an engine minutes after its roll-out. A
+    sidecar is paused before the change and replaced. It resumes with the old settings,
+    acquires the lease, and would restore the models of the old settings.
     """
 
     async def scenario():
-        async with open_deployment(model_plan(1), sidecar_overrides=FAST) as deployment:
+        async with open_deployment(
+            model_plan(1), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
             (pair,) = deployment.pool("assessment")
-            await start_with_old(deployment)
+            await start_with_old_model(deployment)
             old = pair.sidecar
             old.send(signal.SIGSTOP)
             await start_sidecar_beside(deployment, pair)
-            await change(deployment, *registrations(deployment, OLD, NEW))
+            await commit_change(
+                deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
+            )
             await deployment.call("assessment", "claim", deadline_ms=DEADLINE_MS)
-            await wait_models(deployment, OLD, NEW)
-            await change(deployment, set_value(SWITCH_KEY, NEW, AT_PIPELINE))
-            await change(deployment, *registrations(deployment, NEW))
-            await wait_models(deployment, NEW)
-            # What the old one wants is not there: it will try to load it.
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
+            await commit_change(
+                deployment, set_value(SWITCH_KEY, NEW_MODEL, PIPELINE_SCOPE)
+            )
+            await commit_change(deployment, *registrations(deployment, NEW_MODEL))
+            await wait_until_loaded(deployment, NEW_MODEL)
+            # The model of its old settings is not loaded, so it tries to load it.
             old.send(signal.SIGCONT)
             while not any("waiting for the newer" in line for line in old.lines):
-                assert (await engine_state(deployment, pair))["models"] == [NEW]
+                assert (await engine_state(deployment, pair))["models"] == [NEW_MODEL]
                 await asyncio.sleep(0.05)
-            assert (await engine_state(deployment, pair))["models"] == [NEW]
+            assert (await engine_state(deployment, pair))["models"] == [NEW_MODEL]
 
     run_async(scenario())
 
 
 def test_a_change_of_role_waits_for_running_calls():
     """
-    Answers break off when an engine is told to do prefill only: the order reached it
-    in the middle of them, and entries sent more.
+    Responses would break off when an engine changes to prefill only, if the order
+    reached it while calls run, or if entries sent it further calls.
     """
 
     async def scenario():
-        slow = model_plan(2, token_time=TOKEN_TIME_S, tokens=TOKENS)
-        async with open_deployment(slow, sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
+        slow_plan = model_plan(2, token_time=TOKEN_TIME_S, tokens=TOKENS)
+        async with open_deployment(
+            slow_plan, sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
             first, second = deployment.pool("assessment")
-            async with callers(deployment) as load:
-                await load.some_more()
-                await change(
+            async with concurrent_callers(deployment) as load:
+                await load.wait_for_more()
+                await commit_change(
                     deployment,
-                    *registrations(deployment, OLD, pairs=[first], role="prefill"),
+                    *registrations(
+                        deployment, OLD_MODEL, pairs=[first], role="prefill"
+                    ),
                 )
                 while (await engine_state(deployment, first))["role"] != "prefill":
                     await asyncio.sleep(0.05)
-                await load.some_more()
-                refused = await propose(
+                await load.wait_for_more()
+                refusal = await propose(
                     deployment,
-                    registrations(deployment, OLD, pairs=[second], role="prefill"),
+                    registrations(
+                        deployment, OLD_MODEL, pairs=[second], role="prefill"
+                    ),
+                )
+                assert refusal[0] == 422
+                await commit_change(
+                    deployment, *registrations(deployment, OLD_MODEL, pairs=[first])
                 )
-                assert refused[0] == 422
-                await change(deployment, *registrations(deployment, OLD, pairs=[first]))
                 while (await engine_state(deployment, first))["role"] != "both":
                     await asyncio.sleep(0.05)
-                await load.some_more()
-            assert [a for a in load.answers if a[0] != 200] == []
+                await load.wait_for_more()
+            assert [a for a in load.responses if a[0] != 200] == []
             assert not [r for r in await engine_records(deployment) if "cut" in r]
             assert not log_lines(deployment.entries[0], "policy_failed")
 
     run_async(scenario())
 
 
-def test_operators_see_what_is_wanted_and_what_is_there():
+def test_operators_see_registered_and_served_models():
     """
-    An operator switches a pipeline blindly: nothing shows which engines have loaded
-    the version, nor why one has not.
+    An operator would not see which engines have loaded a version, or why one has not,
+    before switching a pipeline to it.
     """
 
     async def scenario():
-        async with open_deployment(model_plan(1), sidecar_overrides=FAST) as deployment:
-            await start_with_old(deployment)
-            await change(
-                deployment, *registrations(deployment, OLD, NEW, model_slots=2)
+        async with open_deployment(
+            model_plan(1), sidecar_overrides=FAST_UNLOAD
+        ) as deployment:
+            await start_with_old_model(deployment)
+            await commit_change(
+                deployment,
+                *registrations(deployment, OLD_MODEL, NEW_MODEL, model_slots=2),
             )
-            await wait_models(deployment, OLD, NEW)
-            await wait_served(deployment, OLD, NEW)
-            (row,) = await rows(deployment)
-            assert row["models"] == [OLD, NEW]
-            assert row["served"] == sorted([OLD, NEW])
+            await wait_until_loaded(deployment, OLD_MODEL, NEW_MODEL)
+            await wait_until_served(deployment, OLD_MODEL, NEW_MODEL)
+            (row,) = await endpoint_rows(deployment)
+            assert row["models"] == [OLD_MODEL, NEW_MODEL]
+            assert row["served"] == sorted([OLD_MODEL, NEW_MODEL])
             assert row["role"] == row["engine_role"] == "both"
-            assert row["last_order"] == f"load {NEW}: done"
+            assert row["last_order"] == f"load {NEW_MODEL}: done"
 
     run_async(scenario())
--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -1,4 +1,4 @@
-"""Model orders reach an engine under a fencing number that only rises."""
+"""Model orders reach an engine with strictly increasing fencing numbers."""
 
 import asyncio
 import itertools
@@ -26,14 +26,14 @@
 
 
 def engines_only(count):
-    """Return the plan with so many engines and nothing else."""
+    """Return the plan with ``count`` engines and no other servers."""
     pools = [p for p in plan().pools if p.kind == "engine"]
     pools = [msgspec.structs.replace(pool, servers=count) for pool in pools]
     return msgspec.structs.replace(plan(), pools=pools, settings={})
 
 
-async def want(deployment, pairs, *models):
-    """Register the models of some endpoints, with their sidecars' addresses."""
+async def register_models(deployment, pairs, *models):
+    """Register endpoints with models and with the addresses of their sidecars."""
     firm = {
         f"endpoint.{pair.id}": {**pair.registration(), "models": list(models)}
         for pair in pairs
@@ -41,17 +41,17 @@
     await deployment.apply({"firm": firm})
 
 
-async def orders(deployment, pair):
-    """Return the fencing numbers and models of the orders that an engine took."""
-    found = await deployment.records(pair.service)
-    return [(r["fencing"], r["order"]) for r in found if "order" in r]
+async def accepted_orders(deployment, pair):
+    """Return the fencing numbers and models of the orders that an engine accepted."""
+    records = await deployment.records(pair.service)
+    return [(r["fencing"], r["order"]) for r in records if "order" in r]
 
 
-async def wait_orders(deployment, pair, count):
-    """Return the orders of an engine once there are so many."""
-    while len(found := await orders(deployment, pair)) < count:
+async def wait_for_orders(deployment, pair, count):
+    """Return the orders of an engine once there are at least ``count``."""
+    while len(records := await accepted_orders(deployment, pair)) < count:
         await asyncio.sleep(0.05)
-    return found
+    return records
 
 
 async def platform_writes(deployment, caller):
@@ -61,56 +61,58 @@
 
 
 async def key_exists(deployment, key):
-    async with deployment.http.get(f"{deployment.platform_url}/v1/kv/{key}") as found:
-        return found.status == 200
+    async with deployment.http.get(
+        f"{deployment.platform_url}/v1/kv/{key}"
+    ) as response:
+        return response.status == 200
 
 
 @pytest.mark.parametrize("fencing", [True, False])
-def test_a_paused_former_holder_gives_no_old_order(fencing):
+def test_a_paused_former_lease_holder_sends_no_stale_order(fencing):
     """
-    An engine loads last week's model over today's and answers with it. Its sidecar
-    took the lease, was paused before it gave the order, and was replaced; the new
-    one gave its order; then the old one woke and gave its own, to an engine that
+    An engine would replace its current model by an old one. A sidecar acquires the
+    lease, is paused before it sends its order, and is replaced. The new sidecar sends
+    its order; then the old one resumes and would send its own, also to an engine that
     ignores fencing numbers.
     """
 
     async def scenario():
-        short = {"order_lease_ttl": SHORT_LEASE_S}
+        short_lease = {"order_lease_ttl": SHORT_LEASE_S}
         async with open_deployment(
-            engines_only(1), sidecar_overrides=short
+            engines_only(1), sidecar_overrides=short_lease
         ) as deployment:
             (pair,) = deployment.endpoints.values()
             await deployment.set_knobs(pair.service, fencing=fencing)
             await deployment.set_knobs(deployment.platform, slow=1.0, lose_answers=2)
-            await want(deployment, [pair], MODEL)
+            await register_models(deployment, [pair], MODEL)
             while await platform_writes(deployment, pair.id) < 2:
                 await asyncio.sleep(0.01)
-            old = pair.sidecar
-            old.send(signal.SIGSTOP)
+            old_sidecar = pair.sidecar
+            old_sidecar.send(signal.SIGSTOP)
             while not await key_exists(deployment, f"orders/{pair.id}"):
                 await asyncio.sleep(0.05)
             await deployment.set_knobs(deployment.platform, slow=0.0, lose_answers=0)
-            assert await orders(deployment, pair) == []
+            assert await accepted_orders(deployment, pair) == []
             await start_sidecar_beside(deployment, pair)
-            await want(deployment, [pair], MODEL)
-            first = await wait_orders(deployment, pair, 1)
+            await register_models(deployment, [pair], MODEL)
+            first = await wait_for_orders(deployment, pair, 1)
             assert first == [(2, MODEL)]
-            old.send(signal.SIGCONT)
-            await want(deployment, [pair], MODEL, "assessment-8b")
-            await wait_orders(deployment, pair, 2)
-            while not any("model_order_failed" in line for line in old.lines):
+            old_sidecar.send(signal.SIGCONT)
+            await register_models(deployment, [pair], MODEL, "assessment-8b")
+            await wait_for_orders(deployment, pair, 2)
+            while not any("model_order_failed" in line for line in old_sidecar.lines):
                 await asyncio.sleep(0.05)
-            numbers = [number for number, _ in await orders(deployment, pair)]
+            numbers = [number for number, _ in await accepted_orders(deployment, pair)]
             assert numbers == sorted(set(numbers))
             assert 1 not in numbers
 
     run_async(scenario())
 
 
-def test_an_order_is_not_sent_after_the_lease():
+def test_an_order_is_not_sent_after_its_lease_expired():
     """
-    The same, at the last moment: the pause falls between the answer of the platform
-    and the bytes of the order.
+    The same failure, with the pause between the platform's response and the sending of
+    the order.
     """
 
     async def scenario():
@@ -122,36 +124,36 @@
             engine = EngineOrders(session, pair.service_url, clock=lambda: 100.0)
             with pytest.raises(LeaseExpiredError):
                 await engine.give(Load("old"), LeaseGrant(1, until=101.0))
-            assert await orders(deployment, pair) == []
+            assert await accepted_orders(deployment, pair) == []
             await engine.give(Load("new"), LeaseGrant(2, until=103.0))
-            assert await orders(deployment, pair) == [(2, "new")]
+            assert await accepted_orders(deployment, pair) == [(2, "new")]
 
     run_async(scenario())
 
 
-def test_an_order_whose_answer_is_lost_is_not_given_twice():
+def test_an_order_whose_response_is_lost_is_not_sent_twice():
     """
-    An engine reloads a model of sixty gigabytes for nothing, and is slow meanwhile.
-    It obeyed the order, the connection broke, and the sidecar gave it again.
+    An engine would load a model of 60 GB twice, and be slow meanwhile: it executes the
+    order, the connection breaks, and the sidecar sends the order again.
     """
 
     async def scenario():
         async with open_deployment(engines_only(1)) as deployment:
             (pair,) = deployment.endpoints.values()
             await deployment.set_knobs(pair.service, lose_orders=1)
-            await want(deployment, [pair], MODEL)
-            assert await wait_orders(deployment, pair, 1) == [(1, MODEL)]
-            await want(deployment, [pair], MODEL, "assessment-8b")
-            found = await wait_orders(deployment, pair, 2)
-            assert [model for _, model in found] == [MODEL, "assessment-8b"]
+            await register_models(deployment, [pair], MODEL)
+            assert await wait_for_orders(deployment, pair, 1) == [(1, MODEL)]
+            await register_models(deployment, [pair], MODEL, "assessment-8b")
+            records = await wait_for_orders(deployment, pair, 2)
+            assert [model for _, model in records] == [MODEL, "assessment-8b"]
 
     run_async(scenario())
 
 
-def test_pulls_stay_under_the_rate_of_the_weight_store():
+def test_downloads_stay_below_the_rate_of_the_weight_store():
     """
-    A new model reaches all engines at once; the store throttles, and engines that
-    come back together are refused together for minutes.
+    All engines are ordered to load a new model at once. The weight store throttles
+    them, and engines that retry together would be refused together for minutes.
     """
 
     async def scenario():
@@ -159,25 +161,25 @@
             pairs = list(deployment.endpoints.values())
             rate = 5 * 65_536.0
             await deployment.set_knobs(deployment.platform, weight_rate=rate)
-            await want(deployment, pairs, MODEL)
+            await register_models(deployment, pairs, MODEL)
             for pair in pairs:
-                assert await wait_orders(deployment, pair, 1) == [(1, MODEL)]
+                assert await wait_for_orders(deployment, pair, 1) == [(1, MODEL)]
             pulls = [r["at"] for r in await deployment.records(deployment.platform)]
             assert len(pulls) == len(pairs)
             gaps = [after - at for at, after in itertools.pairwise(pulls)]
             assert min(gaps) >= 65_536 / rate
             for pair in pairs:
-                # A session, a number, the session's end: nothing is renewed.
+                # Creates and ends a session and writes a fencing number; no renewals.
                 assert await platform_writes(deployment, pair.id) == 3
 
     run_async(scenario())
 
 
-def test_an_engine_that_is_away_for_hours_is_asked_on():
+def test_an_engine_that_is_down_for_hours_is_still_retried():
     """
-    An engine is down for half a day. When it is back, empty, nobody gives it its
-    models: the wait between tries had doubled a thousand times, beyond what a
-    number of seconds can hold, and the error ended the sidecar's orders for good.
+    An engine that was down for half a day would not get its models again: the pause
+    between retries doubled a thousand times, exceeded the range of a float, and the
+    error ended the sidecar's reconciliation for good.
     """
 
     async def scenario():
@@ -193,9 +195,9 @@
         )
         async with aiohttp.ClientSession() as session:
             served = ServedModels(asyncio.get_running_loop().time)
-            orders = ModelReconciler(settings, session, served, announce=None)
+            reconciler = ModelReconciler(settings, session, served, announce=None)
             for _ in range(2000):
-                wait_s = await orders._reconcile()
-            assert wait_s == RECONCILE_S
+                pause_s = await reconciler._reconcile()
+            assert pause_s == RECONCILE_S
 
     run_async(scenario())
--- a/tests/lifecycle/test_planned_stops.py
+++ b/tests/lifecycle/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request and no stream."""
+"""Planned stops interrupt no request and no stream."""
 
 import asyncio
 import signal
@@ -17,12 +17,12 @@
 
 TOKENS = 8
 LONG_TOKENS = 150
-AT_ONCE = 8
-ORDERS_AT_ONCE = 3
+CONCURRENT_CALLS = 8
+CONCURRENT_ORDERS = 3
 
 
-def quick_plan(tokens=TOKENS, token_time=0.004):
-    """Return the plan with endpoints of one region that answer at once."""
+def fast_plan(tokens=TOKENS, token_time=0.004):
+    """Return the plan with fast endpoints."""
     knobs = {"tokens": tokens, "token_time": token_time, "service": 0.002}
     pools = [msgspec.structs.replace(pool, knobs=knobs) for pool in plan().pools]
     return msgspec.structs.replace(plan(), pools=pools)
@@ -30,63 +30,64 @@
 
 def test_a_rolling_restart_of_every_process_fails_no_request():
     """
-    Callers see resets, cut streams and refusals each time a new version goes out.
-    Every sidecar and every entry is stopped and started again, one after another,
-    under load, behind a balancer that follows /readyz.
+    Callers would see resets, broken streams and refusals at each update. Every sidecar
+    and entry is restarted in turn under load, behind a load balancer that polls
+    /readyz.
     """
 
     async def scenario():
-        async with open_deployment(quick_plan(), entries=2, servers=2) as deployment:
+        async with open_deployment(fast_plan(), entries=2, servers=2) as deployment:
             balancer = Balancer(deployment)
             world = World(deployment, balancer, Random(1))
-            following = asyncio.create_task(balancer.run())
+            polling = asyncio.create_task(balancer.run())
             callers = Callers(world, 1, TOKENS, kinds=("whole", "stream"))
-            stopping = asyncio.create_task(restart_all(world))
-            number = 0
-            while not stopping.done():
-                await callers.run_more(number, AT_ONCE, AT_ONCE)
-                number += AT_ONCE
-            await stopping
-            following.cancel()
+            restarts = asyncio.create_task(restart_all(world))
+            sent = 0
+            while not restarts.done():
+                await callers.run_more(sent, CONCURRENT_CALLS, CONCURRENT_CALLS)
+                sent += CONCURRENT_CALLS
+            await restarts
+            polling.cancel()
             assert world.violations == []
-            assert number > AT_ONCE
+            assert sent > CONCURRENT_CALLS
             assert {name for name in world.counts if "refused" in name} == set()
-            answered = world.counts["answered whole"]
-            assert answered + world.counts["answered by stream"] == number
+            whole_responses = world.counts["answered whole"]
+            assert whole_responses + world.counts["answered by stream"] == sent
 
     run_async(scenario())
 
 
-def test_a_rolling_restart_doubles_and_loses_no_effect():
+def test_a_rolling_restart_duplicates_and_loses_no_effect():
     """
-    Orders come in, and are repeated through other entries, while a new version goes
-    out. A stop that forgets an order turns its repeats into unknown, and one that
-    cuts it may double it; an order bound to a sidecar that then stops is not run.
+    Orders are sent, and repeated through other entries, during an update. If a stop
+    lost the record of an order, its repeats would get the outcome ``unknown``; if it
+    interrupted an order, the order might run twice; and an order that is bound to a
+    sidecar that then stops might never run.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
             balancer = Balancer(deployment)
             world = World(deployment, balancer, Random(1))
-            following = asyncio.create_task(balancer.run())
+            polling = asyncio.create_task(balancer.run())
             callers = Callers(world, 1, TOKENS, kinds=("effect",))
-            stopping = asyncio.create_task(restart_all(world))
-            number = 0
-            while not stopping.done():
-                await callers.run_more(number, ORDERS_AT_ONCE, ORDERS_AT_ONCE)
-                number += ORDERS_AT_ONCE
-            await stopping
-            await callers.repeat_until_known(ORDERS_AT_ONCE)
+            restarts = asyncio.create_task(restart_all(world))
+            sent = 0
+            while not restarts.done():
+                await callers.run_more(sent, CONCURRENT_ORDERS, CONCURRENT_ORDERS)
+                sent += CONCURRENT_ORDERS
+            await restarts
+            await callers.repeat_until_known(CONCURRENT_ORDERS)
             await check_records(world, callers)
-            following.cancel()
+            polling.cancel()
             assert world.violations == []
-            assert world.counts["effects recorded"] > ORDERS_AT_ONCE
+            assert world.counts["effects recorded"] > CONCURRENT_ORDERS
 
     run_async(scenario())
 
 
 async def restart_all(world):
-    """Restart each process in turn, the sidecars of one pool after another."""
+    """Restart all processes: in turn a sidecar of each pool, then each entry."""
     for number in range(len(world.deployment.pool("dispatch"))):
         await asyncio.gather(
             *(
@@ -95,29 +96,29 @@
             )
         )
         for entry in world.deployment.entries:
-            while is_out(entry):
+            while has_unavailable_endpoint(entry):
                 await asyncio.sleep(0.05)
     for number in range(len(world.deployment.entries)):
         await world.stop_entry(number)
         await world.balancer.wait_ready(number)
 
 
-def is_out(entry):
-    """Whether an entry sends some endpoint nothing, by its log."""
+def has_unavailable_endpoint(entry):
+    """Whether an entry has unavailable endpoints, according to its log."""
     return len(log_lines(entry, "endpoint_out")) > len(
         log_lines(entry, "endpoint_back")
     )
 
 
-def test_a_long_stream_outlives_the_stop_of_its_entry_and_its_sidecar():
+def test_a_long_stream_completes_while_its_entry_and_sidecar_stop():
     """
-    A long repair procedure breaks off as its entry, or the sidecar of its engine,
-    is stopped for an update. New requests go elsewhere; this one has to finish.
+    A long stream would break when its entry and the sidecar of its engine are stopped
+    for an update. New requests go to other processes; the running one must complete.
     """
 
     async def scenario():
-        long = quick_plan(tokens=LONG_TOKENS, token_time=0.02)
-        async with open_deployment(long, entries=2, servers=1) as deployment:
+        slow_plan = fast_plan(tokens=LONG_TOKENS, token_time=0.02)
+        async with open_deployment(slow_plan, entries=2, servers=1) as deployment:
             call = asyncio.create_task(
                 deployment.call("assessment", "baler", stream=True, deadline_ms=20_000)
             )
@@ -127,12 +128,14 @@
             entry, sidecar = deployment.entries[0], engine.sidecar
             entry.send(signal.SIGTERM)
             sidecar.send(signal.SIGTERM)
-            last = await deployment.call("dispatch-order", {"to": "field"}, key="k")
-            assert last.headers["Connection"] == "close"
-            answer = await call
-            events = parse_events(await answer.text())
+            late_response = await deployment.call(
+                "dispatch-order", {"to": "field"}, key="k"
+            )
+            assert late_response.headers["Connection"] == "close"
+            response = await call
+            events = parse_events(await response.text())
             assert events[-1][0] == "done"
-            # Chunks that are ready together share an event: words count, not events.
+            # Count words, because several chunks may be sent in one event.
             text = "".join(data["text"] for kind, data in events if kind == "chunk")
             assert len(text.split()) == LONG_TOKENS
             assert events[-1][1]["output"]["text"] == text
@@ -145,13 +148,13 @@
 
 def test_a_second_signal_ends_streams_with_an_explicit_error():
     """
-    An operator cannot wait and signals twice. A stream that is cut looks like a
-    whole answer; it has to end in an error that says the outcome is not known.
+    An operator sends a second signal to stop at once. A stream that is merely cut looks
+    like a complete response, so it must end in an error with the outcome ``unknown``.
     """
 
     async def scenario():
-        long = quick_plan(tokens=1500, token_time=0.02)
-        async with open_deployment(long, servers=1) as deployment:
+        slow_plan = fast_plan(tokens=1500, token_time=0.02)
+        async with open_deployment(slow_plan, servers=1) as deployment:
             call = asyncio.create_task(
                 deployment.call("assessment", "baler", stream=True, deadline_ms=40_000)
             )
--- a/tests/lifecycle/test_random_run.py
+++ b/tests/lifecycle/test_random_run.py
@@ -1,4 +1,4 @@
-"""A bounded randomised run; the long one is a command (docs/MEASUREMENTS.md)."""
+"""A short random run; the long one is a command (see docs/MEASUREMENTS.md)."""
 
 import asyncio
 
@@ -11,12 +11,12 @@
 RUN_TIMEOUT_S = 240.0
 
 
-def test_a_short_randomised_run_breaks_no_promise():
+def test_a_short_random_run_violates_no_guarantee():
     """
-    Any promise may break where faults meet: mixed load, random faults singly and
-    in pairs, every answer checked, every effect counted by its service.
+    Guarantees may fail when faults coincide. The run has mixed load and random faults,
+    alone and in pairs; every response is checked, and the services count the effects.
     """
-    work = run_chaos(plan(), SEED, REQUESTS, FAULTS)
-    world = asyncio.run(asyncio.wait_for(work, RUN_TIMEOUT_S))
+    chaos_run = run_chaos(plan(), SEED, REQUESTS, FAULTS)
+    world = asyncio.run(asyncio.wait_for(chaos_run, RUN_TIMEOUT_S))
     assert world.violations == []
     assert world.counts["sent"] >= REQUESTS
--- a/tests/lifecycle/test_streams.py
+++ b/tests/lifecycle/test_streams.py
@@ -1,4 +1,4 @@
-"""Each stream is whole and its own, or ends in an explicit error."""
+"""Each stream is complete and unmixed, or ends in an explicit error."""
 
 import asyncio
 import signal
@@ -33,8 +33,8 @@
 STREAM_BYTES = 2_000
 
 
-def slow_engines():
-    """Return the plan with engines that take about two seconds for a stream."""
+def slow_engine_plan():
+    """Return the plan with engines that take about two seconds for each stream."""
     pools = [
         msgspec.structs.replace(
             pool, knobs={"token_time": TOKEN_TIME_S, "tokens": TOKENS}
@@ -83,20 +83,20 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_stream_goes_on_elsewhere_at_its_offset(fault):
+def test_a_stream_resumes_at_its_offset_on_another_endpoint(fault):
     """
-    A mechanic's repair procedure stops in the middle, or skips a step, or repeats
-    one. The engine dies, freezes or cuts the connection while it streams, or its
-    sidecar does, and another one has to go on at the word that comes next.
+    A stream would stop in the middle, skip words or repeat them, when its engine or
+    sidecar dies, freezes or closes the connection. Another engine must resume the
+    stream at the next word.
     """
 
     async def scenario():
-        async with open_deployment(slow_engines(), servers=2) as deployment:
-            whole = await deployment.call("assessment", "baler", deadline_ms=20_000)
-            text = (await whole.json())["output"]["text"]
+        async with open_deployment(slow_engine_plan(), servers=2) as deployment:
+            complete = await deployment.call("assessment", "baler", deadline_ms=20_000)
+            text = (await complete.json())["output"]["text"]
             assert len(text.split()) == TOKENS
-            bad, good = deployment.pool("assessment")
-            before = len(await deployment.records(bad.service))
+            faulty, healthy = deployment.pool("assessment")
+            before = len(await deployment.records(faulty.service))
             calls = [
                 asyncio.create_task(
                     deployment.call(
@@ -105,10 +105,10 @@
                 )
                 for _ in range(STREAMS)
             ]
-            while len(await deployment.records(bad.service)) <= before:
+            while len(await deployment.records(faulty.service)) <= before:
                 await asyncio.sleep(TOKEN_TIME_S)
             await asyncio.sleep(FAULT_AFTER_S)
-            await fault(bad, deployment)
+            await fault(faulty, deployment)
             if fault is cut_engine:
                 calls += [
                     asyncio.create_task(
@@ -116,34 +116,34 @@
                     )
                     for _ in range(STREAMS)
                 ]
-            for answer in await asyncio.gather(*calls):
-                events = parse_events(await answer.text())
+            for response in await asyncio.gather(*calls):
+                events = parse_events(await response.text())
                 assert events[-1][0] == "done", events[-1]
-                parts = [data["text"] for kind, data in events if kind == "chunk"]
-                assert "".join(parts) == text
+                texts = [data["text"] for kind, data in events if kind == "chunk"]
+                assert "".join(texts) == text
                 assert events[-1][1]["output"]["text"] == text
             resumed = [
-                r["resume_offset"] for r in await deployment.records(good.service)
+                r["resume_offset"] for r in await deployment.records(healthy.service)
             ]
             assert any(0 < offset < TOKENS for offset in resumed)
 
     run_async(scenario())
 
 
-def test_a_stream_outlives_a_link_that_fails():
+def test_a_stream_survives_a_link_failure():
     """
-    A mechanic's repair procedure stops in the middle: the link to the engine's host
-    drops packets without a word, stands still, or breaks. Both ends are sound, and
-    the connection looks open; the stream has to go on at another engine.
+    A stream would stop in the middle when the link to the engine's host silently drops
+    packets, stalls or breaks. Both ends are healthy and the connection seems open, but
+    the stream must resume at another engine.
     """
 
     async def scenario():
         async with (
-            open_deployment(slow_engines(), servers=2) as deployment,
+            open_deployment(slow_engine_plan(), servers=2) as deployment,
             open_relays(deployment, "assessment") as relays,
         ):
-            whole = await deployment.call("assessment", "baler", deadline_ms=20_000)
-            text = (await whole.json())["output"]["text"]
+            complete = await deployment.call("assessment", "baler", deadline_ms=20_000)
+            text = (await complete.json())["output"]["text"]
             link = relays[deployment.pool("assessment")[0].id]
             for fault in LinkFault:
                 carried = link.carried
@@ -158,32 +158,32 @@
                 while link.carried < carried + STREAM_BYTES:
                     await asyncio.sleep(0.01)
                 link.fail(fault)
-                for answer in await asyncio.gather(*calls):
-                    events = parse_events(await answer.text())
+                for response in await asyncio.gather(*calls):
+                    events = parse_events(await response.text())
                     assert events[-1][0] == "done"
-                    parts = "".join(d["text"] for k, d in events if k == "chunk")
-                    assert parts == text
+                    texts = "".join(d["text"] for k, d in events if k == "chunk")
+                    assert texts == text
                 link.heal()
 
     run_async(scenario())
 
 
-def test_a_stream_that_cannot_go_on_ends_in_an_error():
+def test_a_stream_that_cannot_be_resumed_ends_in_an_error():
     """
-    A caller takes half a repair procedure for the whole. Every engine cuts its
-    streams; the chunks stop and the connection closes as after a whole answer.
+    A caller would take part of a text for the complete one: every engine cuts its
+    streams off, and the connection would close as after a complete response.
     """
 
     async def scenario():
-        async with open_deployment(slow_engines(), servers=1) as deployment:
+        async with open_deployment(slow_engine_plan(), servers=1) as deployment:
             (engine,) = deployment.pool("assessment")
             await deployment.set_knobs(engine.service, cut_after_tokens=2)
-            answer = await deployment.call("assessment", "combine", stream=True)
-            kind, data = parse_events(await answer.text())[-1]
+            response = await deployment.call("assessment", "combine", stream=True)
+            kind, data = parse_events(await response.text())[-1]
             assert kind == "error"
             assert data["outcome"] == "unknown"
-            whole = await deployment.call("assessment", "combine")
-            assert whole.status == 502
+            complete = await deployment.call("assessment", "combine")
+            assert complete.status == 502
 
     run_async(scenario())
 
@@ -199,27 +199,27 @@
             offset += 1
 
 
-def test_a_stream_without_end_takes_a_bounded_share_of_memory():
+def test_an_endless_stream_uses_bounded_memory():
     """
-    The entry of every caller runs out of memory. An engine that never ends its
-    answer fills the queue of a caller who reads nothing.
+    An entry would run out of memory when an engine never ends its output: its text
+    accumulates for a caller that does not read it.
     """
 
     async def scenario():
-        endless = EndlessSidecar("fake-1")
-        async with fake_deployment(endless, streams=True) as deployment:
-            answer = await deployment.call("echo", "claim", stream=True)
-            events = parse_events(await answer.text())
+        sidecar = EndlessSidecar("fake-1")
+        async with fake_deployment(sidecar, streams=True) as deployment:
+            response = await deployment.call("echo", "claim", stream=True)
+            events = parse_events(await response.text())
             assert events[-1][0] == "error"
-            parts = [data["text"] for kind, data in events if kind == "chunk"]
-            assert 0 < len("".join(parts)) <= MAX_TEXT_BYTES
-            assert len(endless.calls) == 1
+            texts = [data["text"] for kind, data in events if kind == "chunk"]
+            assert 0 < len("".join(texts)) <= MAX_TEXT_BYTES
+            assert len(sidecar.calls) == 1
 
     run_with_capnp(scenario())
 
 
 class LongSidecar(FakeSidecar):
-    """Streams more than the sockets between an entry and its caller hold."""
+    """Streams more data than the socket buffers between entry and caller can hold."""
 
     async def run(self, call, on_chunk):
         self.calls.append(call)
@@ -229,40 +229,40 @@
         return StageReply(call.id, Status.FINISHED, output, load=self.load())
 
 
-def test_a_caller_that_reads_nothing_holds_up_nobody():
+def test_a_stalled_caller_delays_no_other_caller():
     """
-    One tester closes the lid of a laptop in the middle of a stream; others wait for
-    the engine that it holds, and the entry can't be stopped for ten minutes.
+    A caller that stops reading in the middle of a stream would block the engine for
+    other callers, and the entry could not be stopped for ten minutes.
     """
 
     async def scenario():
-        long = LongSidecar("fake-1")
+        sidecar = LongSidecar("fake-1")
         options = {"entry_overrides": {"stall_timeout": 1.0}}
-        async with fake_deployment(long, streams=True, **options) as deployment:
+        async with fake_deployment(sidecar, streams=True, **options) as deployment:
             port = deployment.entries[0].ports["port"]
             body = b'{"input": "claim", "stream": true}'
             with socket.socket() as caller:
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 caller.connect(("127.0.0.1", port))
                 caller.sendall(request_head(deployment, len(body)) + body)
-                while not long.calls:
+                while not sidecar.calls:
                     await asyncio.sleep(0.02)
-                other = await deployment.call("echo", "claim", stream=True)
-                assert parse_events(await other.text())[-1][0] == "done"
+                other_response = await deployment.call("echo", "claim", stream=True)
+                assert parse_events(await other_response.text())[-1][0] == "done"
                 assert await deployment.entries[0].stop() == 0
                 assert not log_lines(deployment.entries[0], "entry_stop_forced")
 
     run_with_capnp(scenario())
 
 
-def test_a_stream_to_a_caller_that_stands_still_ends():
+def test_a_stream_to_a_stalled_caller_ends():
     """
-    An entry can't be stopped for ten minutes. A caller opened a stream and reads
-    nothing; its response stays open for as long as the connection does.
+    An entry could not be stopped for ten minutes: a caller opens a stream and reads
+    nothing, and the response would stay open as long as the connection.
     """
 
     async def scenario():
-        ended = asyncio.get_running_loop().create_future()
+        error_text = asyncio.get_running_loop().create_future()
 
         async def handle(request):
             stream = EventStream(request, stall_timeout_s=0.5)
@@ -271,7 +271,7 @@
                 for _ in range(400):
                     await stream.send("chunk", b"x" * 65_536)
             except ConnectionResetError as error:
-                ended.set_result(str(error))
+                error_text.set_result(str(error))
                 raise
 
         app = web.Application()
@@ -281,13 +281,13 @@
                 caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 caller.connect(("127.0.0.1", port))
                 caller.sendall(b"GET / HTTP/1.1\r\nHost: entry\r\n\r\n")
-                assert await ended == "the caller reads nothing"
+                assert await error_text == "the caller reads nothing"
 
     run_async(scenario())
 
 
 def request_head(deployment, length):
-    """Return the head of a caller's request."""
+    """Return the request line and the headers of a request."""
     key = deployment.plan.accounts[0].key
     return (
         "POST /v1/pipelines/echo/requests HTTP/1.1\r\nHost: entry\r\n"
@@ -295,10 +295,10 @@
     ).encode()
 
 
-def test_chunks_count_once_in_order_and_from_one_text():
+def test_chunks_are_appended_once_in_order_and_from_one_text():
     """
-    A procedure reads as a mixture of two. A stream is hedged, and the second
-    engine words it differently: its chunks would follow the first engine's.
+    A text would be a mixture of two: a stream is hedged, and the second engine
+    generates a different text, whose chunks would be appended to the first engine's.
     """
     text = StreamText()
     assert text.add(0, "check ") is ChunkOutcome.APPENDED
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes."""
+"""The complete path of a request through separate processes."""
 
 import json
 
@@ -15,12 +15,14 @@
         ("qoryq", "triage", "assign-ticket", "tickets"),
     ],
 )
-def test_whole_answers_streams_and_one_effect(name, pipeline, effect, effect_pool):
+def test_complete_responses_streams_and_single_effects(
+    name, pipeline, effect, effect_pool
+):
     async def scenario():
         async with open_deployment(plan(name), servers=1) as deployment:
-            answered = await deployment.call(pipeline, "lift is stuck")
-            document = await answered.json()
-            assert answered.status == 200, document
+            response = await deployment.call(pipeline, "lift is stuck")
+            document = await response.json()
+            assert response.status == 200, document
             assert len(document["stages"]) == 4
             assert document["output"]["text"]
 
@@ -32,20 +34,20 @@
             assert events[-1][1]["output"]["text"] == text
 
             first = await deployment.call(effect, {"to": "field 7"}, key="order-1")
-            again = await deployment.call(effect, {"to": "field 7"}, key="order-1")
-            assert first.status == again.status == 200
-            assert (await first.json())["output"] == (await again.json())["output"]
+            repeat = await deployment.call(effect, {"to": "field 7"}, key="order-1")
+            assert first.status == repeat.status == 200
+            assert (await first.json())["output"] == (await repeat.json())["output"]
             service = deployment.pool(effect_pool)[0].service
             assert len(await deployment.records(service)) == 1
 
     run_async(scenario())
 
 
-def test_bad_requests_are_told_what_to_do_and_run_nothing():
+def test_bad_requests_get_a_remedy_and_run_nothing():
     async def scenario():
-        small = {"max_body_bytes": 2000}
+        small_bodies = {"max_body_bytes": 2000}
         async with open_deployment(
-            plan(), servers=1, entry_overrides=small
+            plan(), servers=1, entry_overrides=small_bodies
         ) as deployment:
             url = deployment.entry_url() + "/v1/pipelines/{}/requests"
             good = {"Authorization": f"Bearer {deployment.plan.accounts[0].key}"}
