--- a/packages/daemon/src/amaranthtally/daemon/entry/admin.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/admin.py
@@ -91,8 +91,10 @@
 
     def _require_key(self, request: web.Request) -> None:
         _, _, key = request.headers.get(hdrs.AUTHORIZATION, "").partition(" ")
-        given = key.strip().encode()
-        if not any(hmac.compare_digest(given, known) for known in self._keys):
+        sent_key = key.strip().encode()
+        if not any(
+            hmac.compare_digest(sent_key, valid_key) for valid_key in self._keys
+        ):
             raise AdminError(
                 401, "Unknown key", "Send an administration key as Bearer."
             )
@@ -112,14 +114,14 @@
         """Every key that may be set, with kind, unit, range and default."""
         rows = [
             KeyRow(
-                known.template,
-                known.kind.text,
-                known.unit,
-                known.default,
-                sorted(level.value for level in known.placement.levels),
-                known.doc,
+                definition.template,
+                definition.kind.text,
+                definition.unit,
+                definition.default,
+                sorted(level.value for level in definition.placement.levels),
+                definition.doc,
             )
-            for known in known_keys()
+            for definition in known_keys()
         ]
         return Keys(rows)
 
@@ -136,17 +138,17 @@
         """The effective value at a scope, and the level that sets it."""
         name = request.query.get("key", "")
         scope = parse_scope(request.query.get("scope", "firm"))
-        known = find_key(name)
-        if known is None:
+        definition = find_key(name)
+        if definition is None:
             nearest = nearest_key(name)
             remedy = f"did you mean {nearest!r}?" if nearest else "see settings/keys"
             raise AdminError(404, "Unknown key name", f"no key {name!r}; {remedy}")
         tree = self._state.tree
         holders = tree.explain(scope, name)
-        source, value = "unset", known.default
+        source, value = "unset", definition.default
         if holders:
             source, value = str(holders[0][0]), holders[0][1]
-        elif known.default is not None:
+        elif definition.default is not None:
             source = "default"
         return Explanation(
             tree.revision,
@@ -158,16 +160,16 @@
                 Value(str(holder_scope), name, held_value)
                 for holder_scope, held_value in holders
             ],
-            known.kind.text,
-            known.unit,
-            known.doc,
+            definition.kind.text,
+            definition.unit,
+            definition.doc,
         )
 
     # Changes
 
     @route("POST", f"{PREFIX}/changes", Change, body=Proposal)
     async def create_change(self, request: web.Request) -> Change:
-        """Commit a batch of values, whole or not at all."""
+        """Commit a batch of values: all of them, or none."""
         proposal = await read_body(request, Proposal)
         return unwrap_commit(await self._services.committer.commit(proposal))
 
@@ -215,12 +217,14 @@
 
     @route("GET", f"{PREFIX}/changes/{{number}}", Change)
     async def read_change(self, request: web.Request) -> Change:
-        """One change by its number."""
+        """The change with the given number."""
         number = parse_integer(request.match_info["number"], "number")
         change = unwrap_read(await self._services.committer.find(number))
         if change is None:
             raise AdminError(
-                404, "No such change", f"no change {number} is kept; see the audit"
+                404,
+                "No such change",
+                f"no change {number} is stored; see the audit trail",
             )
         return change
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/caller_events.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/caller_events.py
@@ -25,7 +25,7 @@
 class RequestEnd:
     """The end of a request: its response, or its refusal."""
 
-    answer: bytes = b""
+    response: bytes = b""
     refusal: Refuse | None = None
 
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/callers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/callers.py
@@ -167,7 +167,9 @@
         pipeline = self._pipelines.resolve(account, name)
         if pipeline is None:
             return Problem(
-                404, "Unknown pipeline", f"No pipeline {name!r}; check the path."
+                404,
+                "Unknown pipeline",
+                f"There is no pipeline {name!r}; check the path.",
             )
         return account, pipeline
 
@@ -249,7 +251,7 @@
     def _respond(self, live_request: LiveRequest, end: RequestEnd) -> web.Response:
         if end.refusal is None:
             self._log_request_end(live_request, 200, "answered")
-            return web.Response(body=end.answer, content_type="application/json")
+            return web.Response(body=end.response, content_type="application/json")
         problem = problem_of_refusal(end.refusal)
         self._log_request_end(live_request, problem.status, end.refusal.outcome.value)
         return problem_response(problem)
@@ -267,7 +269,7 @@
             await stream.send("chunk", *texts)
             event = await live_request.events.next_event()
         if event.refusal is None:
-            await stream.send("done", event.answer)
+            await stream.send("done", event.response)
             self._log_request_end(live_request, 200, "answered")
         else:
             problem = problem_of_refusal(event.refusal)
--- a/packages/daemon/src/amaranthtally/daemon/entry/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/executor.py
@@ -32,7 +32,7 @@
 
 __all__ = ["Executor"]
 
-RETRY_S = 1.0
+RETRY_AFTER_S = 1.0
 
 log = get_logger()
 
@@ -68,7 +68,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
         return len(self._requests) + len(self._withdrawals)
 
     @property
@@ -76,7 +76,7 @@
         """Registered endpoints by id."""
         return self._endpoints
 
-    def connect(
+    def set_connections(
         self, connections: SidecarConnections, outcome_querier: OutcomeQuerier
     ) -> None:
         """Set the connections and the querier, which are created after the executor."""
@@ -143,7 +143,10 @@
             self._planner.caller_disconnected(self._loop.time(), request.id)
             self._refuse(
                 Refuse(
-                    request.id, RequestOutcome.UNKNOWN, RefusalReason.STOPPING, RETRY_S
+                    request.id,
+                    RequestOutcome.UNKNOWN,
+                    RefusalReason.STOPPING,
+                    RETRY_AFTER_S,
                 )
             )
 
@@ -249,7 +252,7 @@
     # Endpoints
 
     def _endpoint_for(
-        self, request: LiveRequest, attempt: AttemptId, chosen: str
+        self, request: LiveRequest, attempt: AttemptId, chosen_id: str
     ) -> Endpoint | None:
         """
         Return the endpoint for a stage: the bound one if the stage is at-most-once.
@@ -259,7 +262,7 @@
         """
         stage = request.arrival.pipeline.stages[attempt.stage]
         if stage.repeatable or request.bound is None:
-            return self._endpoints.get(chosen)
+            return self._endpoints.get(chosen_id)
         binding = request.bound.binding(attempt.stage, stage)
         return self._endpoints.get(binding.endpoint)
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/live_request.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/live_request.py
@@ -32,7 +32,7 @@
     attempts: int
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _Response(msgspec.Struct, frozen=True):
     request_id: str
     output: msgspec.Raw
     stages: list[StageRecord]
@@ -114,8 +114,8 @@
 
     def finish(self) -> None:
         """End the request with its complete response."""
-        answer = _Answer(self.id, msgspec.Raw(self.outputs[-1]), self.records)
-        self.events.end(RequestEnd(answer=msgspec.json.encode(answer)))
+        response = _Response(self.id, msgspec.Raw(self.outputs[-1]), self.records)
+        self.events.end(RequestEnd(response=msgspec.json.encode(response)))
 
     def refuse(self, refusal: Refuse) -> None:
         """End the request with a refusal."""
--- a/packages/daemon/src/amaranthtally/daemon/entry/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/service.py
@@ -61,7 +61,7 @@
 
 HTTP_GRACE_S = 5.0
 SEED_BITS = 64
-ADMIN_MAX_BODY = 16 * 1024 * 1024
+MAX_ADMIN_BODY_BYTES = 16 * 1024 * 1024
 
 log = get_logger()
 
@@ -71,13 +71,15 @@
     async with AsyncExitStack() as stack:
         await stack.enter_async_context(capnp.kj_loop())
         stop = stack.enter_context(stop_on_signal())
-        entry = await _open_entry(settings, stack, stop)
+        drain_controller = await _open_entry(settings, stack, stop)
         await stop.wait()
-        log.info("entry_leaving", in_flight=entry.executor.in_flight)
-        work = entry.shut_down(settings.drain_wait)
-        if not await stop.run_until_forced(work, settings.drain_limit):
-            log.warning("entry_stop_forced", in_flight=entry.executor.in_flight)
-            await entry.abort()
+        log.info("entry_leaving", in_flight=drain_controller.executor.in_flight)
+        shutdown = drain_controller.shut_down(settings.drain_wait)
+        if not await stop.run_until_forced(shutdown, settings.drain_limit):
+            log.warning(
+                "entry_stop_forced", in_flight=drain_controller.executor.in_flight
+            )
+            await drain_controller.abort()
     log.info("entry_stopped", entry=settings.name)
 
 
@@ -126,7 +128,7 @@
     )
     stack.push_async_callback(connections.close)
     outcome_querier = OutcomeQuerier(connections)
-    executor.connect(connections, outcome_querier)
+    executor.set_connections(connections, outcome_querier)
     binder = Binder(
         settings.region,
         ClaimStore(settings_services.key_value),
@@ -150,7 +152,7 @@
         aiohttp.ClientSession(headers={CALLER_HEADER: settings.name})
     )
     sweeper = ClaimSweeper(settings_services.key_value, settings.claim_ttl, Random())
-    for work in (
+    for background_work in (
         settings_services.follower.follow(),
         initial_load,
         settings_services.sync.run(),
@@ -159,7 +161,7 @@
         probe_endpoints(membership, connections, lambda: executor.endpoints),
         sweeper.run(),
     ):
-        run_beside(stack, work)
+        run_beside(stack, background_work)
 
     def ready() -> bool:
         return state.loaded.is_set() and not stop.is_set()
@@ -180,10 +182,10 @@
     app = web.Application(client_max_size=settings.max_body_bytes)
     add_caller_routes(app, callers)
 
-    def refresh() -> None:
+    def refresh_metrics() -> None:
         metrics.refresh(executor.in_flight, connections.open_count)
 
-    add_health_routes(app, ready, refresh)
+    add_health_routes(app, ready, refresh_metrics)
     app.on_response_prepare.append(close_connections_when_stopping(stop))
     server = await stack.enter_async_context(
         open_http(app, settings.caller_address, HTTP_GRACE_S)
@@ -195,7 +197,7 @@
         settings.admin_keys,
     )
     admin_app = web.Application(
-        middlewares=[admin.check_key], client_max_size=ADMIN_MAX_BODY
+        middlewares=[admin.check_key], client_max_size=MAX_ADMIN_BODY_BYTES
     )
     add_admin_routes(admin_app, admin)
     admin_port = await stack.enter_async_context(
--- a/packages/daemon/src/amaranthtally/daemon/entry/sidecar_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/sidecar_connections.py
@@ -114,6 +114,7 @@
             async with asyncio.timeout(self._connect_timeout):
                 reply = await client.hello(
                     self._entry,
+                    # The log never reaches this revision, so the delta is empty.
                     self._source.changes_since(1 << 62).revision,
                     self._source,
                     lambda load: self.note_load(endpoint.id, load),
--- a/tests/lifecycle/test_answers.py
+++ b/tests/lifecycle/test_answers.py
@@ -20,7 +20,7 @@
 CALLERS = 24
 
 
-@pytest.mark.parametrize("misbehaving", [SwappingSidecar, RepeatingSidecar])
+@pytest.mark.parametrize("faulty_sidecar", [SwappingSidecar, RepeatingSidecar])
 def test_a_reply_to_another_call_is_rejected(faulty_sidecar):
     """
     A caller would get another caller's response if the entry accepted any reply as the
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -127,7 +127,7 @@
     run_with_capnp(scenario())
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGSTOP])
 def test_a_host_that_fails_without_notice_loses_no_response(signal_number):
     """
     A rack loses power, or a host hangs with open connections, without notice. Requests
--- a/tests/unit/test_caller_events.py
+++ b/tests/unit/test_caller_events.py
@@ -22,15 +22,15 @@
         long = "x" * (MAX_BATCH_CHARS + 1)
         events.put(["check ", "the "])
         events.put(["belt ", long, "y" * MAX_BATCH_CHARS, "now "])
-        events.end(RequestEnd(answer=b"whole"))
+        events.end(RequestEnd(response=b"whole"))
         assert [await events.next_event() for _ in range(5)] == [
             Chunks(("check ", "the ", "belt ")),
             Chunks((long,)),
             Chunks(("y" * MAX_BATCH_CHARS,)),
             Chunks(("now ",)),
-            RequestEnd(answer=b"whole"),
+            RequestEnd(response=b"whole"),
         ]
-        assert await events.wait_for_end() == RequestEnd(answer=b"whole")
+        assert await events.wait_for_end() == RequestEnd(response=b"whole")
 
     run_async(scenario())
 
