--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -12,19 +12,19 @@
 from amaranthtally.policy.scoring import Choice, RouteRequest
 from amaranthtally.policy.stage_times import StageStats, StageTimes
 from amaranthtally.policy.stream_monitor import STUCK_FACTOR, StreamMonitor
-from amaranthtally.policy.stream_progress import Stream
+from amaranthtally.policy.stream_progress import StreamProgress
 from amaranthtally.policy.timers import Timers
 
 __all__ = ["Dispatcher"]
 
 HEDGE_COST = 0.1
-SUSPICION = 0.5
-LAST_CALL = 2.0
+SLOW_ENDPOINT_PROBABILITY = 0.5
+LAST_HEDGE_RUNS = 2.0
 PROBE_SLACK = 3.0
-HEARD_LATELY_S = 5.0
-LOOK_AGAIN_SHARE = 0.5
-LOOK_AGAIN_S = 0.02
-FIRST_CHUNKS = 3.0
+RECENT_REPORT_S = 5.0
+RECHECK_SHARE = 0.5
+MIN_RECHECK_S = 0.02
+CHUNKS_BEFORE_CHECK = 3.0
 
 
 class _PoolBudgets:
@@ -73,12 +73,12 @@
         for budgets in self._budgets.values():
             budgets.configure(settings)
 
-    def first(self, now: float, request: Request) -> list[Action]:
+    def send_first(self, now: float, request: Request) -> list[Action]:
         """Send a stage's first attempt; nothing when no endpoint takes work."""
-        budgets = self._budgets_of(request.current)
+        budgets = self._budgets_of(request.current_stage)
         budgets.retries.earn()
         budgets.hedges.earn()
-        probed = None if request.bound_to else self._probed(now, request)
+        probed = None if request.bound_to else self._choose_probe(now, request)
         if probed is not None:
             return self._send_probe(now, request, probed)
         return self._route(now, request, frozenset())
@@ -90,11 +90,11 @@
         Returns nothing when the budget is spent or no endpoint takes work.
         """
         if cost > 0:
-            if not self._budgets_of(request.current).retries.take(cost):
+            if not self._budgets_of(request.current_stage).retries.take(cost):
                 return []
             request.resends += 1
-        actions = self._route(now, request, request.avoid)
-        if not actions and request.current.repeatable:
+        actions = self._route(now, request, request.excluded)
+        if not actions and request.current_stage.repeatable:
             actions = self._route(now, request, frozenset())
         self._ledger.counters.retries += bool(actions)
         return actions
@@ -107,40 +107,48 @@
         time. Otherwise a timer looks again.
         """
         attempt = request.live[slow]
-        if not request.current.repeatable or len(request.live) > 1:
+        if not request.current_stage.repeatable or len(request.live) > 1:
             return []
-        if not request.current.hedges or not request.may_run_again:
+        if not request.current_stage.hedges or not request.has_attempts_left:
             return []
-        stats = self._times.of(request.current)
-        if request.current.streams:
+        stats = self._times.of(request.current_stage)
+        if request.current_stage.streams:
             self._streams.note_quiet(now, attempt, stats)
         # Where work waits, a hedge only makes it wait longer.
-        crowded = self._loads.pool(request.current.pool).wait_s(now, stats.mean_s) > 0
+        crowded = (
+            self._loads.pool(request.current_stage.pool).wait_s(now, stats.mean_s) > 0
+        )
         if not crowded:
             actions = self._hedge_if_worth_it(now, request, attempt, stats)
             if actions:
                 return actions
-        self._timers.set(self._next_look(now, attempt, stats), request.id, slow)
+        self._timers.set(self._next_check_at(now, attempt, stats), request.id, slow)
         return []
 
-    def _first_look_s(self, stage: Stage, choice: Choice) -> float:
+    def _first_check_delay_s(self, stage: Stage, choice: Choice) -> float:
         """Return after how much of its run an attempt is first looked at."""
         stats = self._times.of(stage)
         chunk_s = stats.chunk_time_s(choice.concurrent) if stage.streams else 0.0
-        return min(stats.p95_s, FIRST_CHUNKS * chunk_s) if chunk_s else stats.p95_s
+        return (
+            min(stats.p95_s, CHUNKS_BEFORE_CHECK * chunk_s) if chunk_s else stats.p95_s
+        )
 
-    def _next_look(self, now: float, attempt: LiveAttempt, stats: StageStats) -> float:
+    def _next_check_at(
+        self, now: float, attempt: LiveAttempt, stats: StageStats
+    ) -> float:
         # A stream's next chunk, or its lack, tells more.
-        chunk_s = stats.chunk_time_s(attempt.beside)
-        again_s = chunk_s or LOOK_AGAIN_SHARE * (now - attempt.sent_at)
-        return now + max(LOOK_AGAIN_S, again_s)
+        chunk_s = stats.chunk_time_s(attempt.concurrent)
+        again_s = chunk_s or RECHECK_SHARE * (now - attempt.sent_at)
+        return now + max(MIN_RECHECK_S, again_s)
 
     def _hedge_if_worth_it(
         self, now: float, request: Request, attempt: LiveAttempt, stats: StageStats
     ) -> list[Action]:
-        hedges = self._budgets_of(request.current).hedges
-        wanted = self._wanted(now, request, request.avoid | {attempt.endpoint})
-        risk = self._risk(now, request, attempt, wanted, stats)
+        hedges = self._budgets_of(request.current_stage).hedges
+        wanted = self._route_request(
+            now, request, request.excluded | {attempt.endpoint}
+        )
+        risk = self._late_probability(now, request, attempt, wanted, stats)
         # Choosing costs most: it is left out where nothing can come of it.
         if hedges.tokens < 1 or wanted.weight * risk <= 0:
             return []
@@ -160,8 +168,8 @@
     def _route(
         self, now: float, request: Request, avoid: frozenset[str]
     ) -> list[Action]:
-        wanted = self._wanted(now, request, avoid)
-        stats = self._times.of(request.current)
+        wanted = self._route_request(now, request, avoid)
+        stats = self._times.of(request.current_stage)
         if request.bound_to:
             return self._send_bound(now, request, wanted, stats)
         choice = self._router.choose(now, wanted, stats)
@@ -178,36 +186,36 @@
         choice = self._router.predict(now, wanted, stats, endpoint)
         return self._send(now, request, wanted, choice)
 
-    def _wanted(
+    def _route_request(
         self, now: float, request: Request, avoid: frozenset[str]
     ) -> RouteRequest:
         arrival = request.arrival
         remaining = request.remaining
         return RouteRequest(
-            request.current,
+            request.current_stage,
             self._times.share_end(now, arrival.deadline, remaining),
             self._times.latest_finish(arrival.deadline, remaining[1:]),
             arrival.pipeline.weight_attainment,
             arrival.input_bytes + request.previous_bytes,
-            arrival.prefix if request.current.caches_prefixes else (),
+            arrival.prefix if request.current_stage.caches_prefixes else (),
             avoid,
             arrival.prefix_sizes,
             request.inputs,
         )
 
-    def _probed(self, now: float, request: Request) -> Endpoint | None:
+    def _choose_probe(self, now: float, request: Request) -> Endpoint | None:
         """
         Return an ejected endpoint to try, when the request can afford a failure.
 
         A stage that may not be repeated is only tried where the sidecar has been
         heard again: its caller would pay for the probe with an unknown outcome.
         """
-        stage = request.current
+        stage = request.current_stage
         name = self._ejections.next_probe(now, stage.pool)
         if name is None:
             return None
         endpoint = self._groups.find(name)
-        if endpoint is None or not _runs(endpoint, stage):
+        if endpoint is None or not _may_run(endpoint, stage):
             return None
         load = self._loads.get_or_create(endpoint)
         left = request.arrival.deadline - now
@@ -215,19 +223,19 @@
             return None
         if load.leaving or left < PROBE_SLACK * self._times.needed_s(request.remaining):
             return None
-        if not stage.repeatable and now - load.reported_at > HEARD_LATELY_S:
+        if not stage.repeatable and now - load.reported_at > RECENT_REPORT_S:
             return None
         return endpoint
 
     def _send_probe(
         self, now: float, request: Request, endpoint: Endpoint
     ) -> list[Action]:
-        wanted = self._wanted(now, request, frozenset())
-        stats = self._times.of(request.current)
+        wanted = self._route_request(now, request, frozenset())
+        stats = self._times.of(request.current_stage)
         choice = self._router.predict(now, wanted, stats, endpoint)
         return self._send(now, request, wanted, choice, probe=True)
 
-    def _risk(
+    def _late_probability(
         self,
         now: float,
         request: Request,
@@ -236,7 +244,7 @@
         stats: StageStats,
     ) -> float:
         """Return the probability that an attempt ends late, given how long it ran."""
-        if request.current.streams and stats.chunk_time_s(attempt.beside) > 0:
+        if request.current_stage.streams and stats.chunk_time_s(attempt.concurrent) > 0:
             return self._streams.risk(now, attempt, wanted.target_end, stats)
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
         so_long = stats.tail(ran)
@@ -247,8 +255,8 @@
         healthy = stats.tail(ran + left) / so_long if so_long else 0.0
         # Beyond the slow quantile it is as likely an endpoint that has become slow
         # as a long run, and soon another attempt would come too late.
-        last_call = ran > stats.p99_s and left < LAST_CALL * stats.p90_s
-        return max(healthy, SUSPICION) if last_call else healthy
+        last_call = ran > stats.p99_s and left < LAST_HEDGE_RUNS * stats.p90_s
+        return max(healthy, SLOW_ENDPOINT_PROBABILITY) if last_call else healthy
 
     # Sending
 
@@ -267,21 +275,25 @@
             sent_at=now,
             wait_s=choice.delay_s,
             run_s=choice.run_s,
-            beside=choice.concurrent,
-            cached=choice.cached_share,
+            concurrent=choice.concurrent,
+            cached_share=choice.cached_share,
             hedge=hedge,
             probe=probe,
-            stream=Stream(request.chunks),
+            stream=StreamProgress(request.chunks),
+        )
+        attempt.pending_prefill_tokens = round(
+            sum(wanted.prefix_sizes) * (1.0 - choice.cached_share)
         )
-        attempt.reading = round(sum(wanted.prefix_sizes) * (1.0 - choice.cached_share))
-        attempt_id = self._ledger.sent(request, load, attempt)
+        attempt_id = self._ledger.add_attempt(request, load, attempt)
         if probe:
             self._ejections.probe_sent(choice.endpoint.id)
             self._ledger.counters.probes += 1
         if choice.endpoint.region != self._settings.region:
-            self._ledger.counters.away += 1
-        if request.current.repeatable:
-            look = choice.delay_s + self._first_look_s(request.current, choice)
+            self._ledger.counters.cross_region += 1
+        if request.current_stage.repeatable:
+            look = choice.delay_s + self._first_check_delay_s(
+                request.current_stage, choice
+            )
             self._timers.set(now + look, request.id, attempt_id)
         return [
             Send(
@@ -314,7 +326,7 @@
     return min(request.arrival.deadline, max(wanted.latest_end, wanted.target_end))
 
 
-def _runs(endpoint: Endpoint, stage: Stage) -> bool:
+def _may_run(endpoint: Endpoint, stage: Stage) -> bool:
     if endpoint.pool != stage.pool or not endpoint.takes_calls:
         return False
     return endpoint.is_meant_for(stage.model)
--- a/packages/policy/src/amaranthtally/policy/outcome_recorder.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -41,11 +41,11 @@
         Runs cut off by it never end here: without them a stage that takes longer than
         any deadline would look as fast as it used to be.
         """
-        stats = self._times.of(request.current)
+        stats = self._times.of(request.current_stage)
         for attempt in request.live.values():
             ran = now - attempt.sent_at - attempt.wait_s
             if ran > stats.median_s:
-                stats.add(ran, int(stats.output_bytes), attempt.beside)
+                stats.add(ran, int(stats.output_bytes), attempt.concurrent)
             self._ejections.probe_inconclusive(attempt.endpoint)
 
     def attempt_failed(
@@ -60,7 +60,7 @@
             and (
                 result.retry_after_s > 0
                 or result.inputs_missing
-                or (load is not None and not load.accepts(request.current.model))
+                or (load is not None and not load.accepts(request.current_stage.model))
             )
         )
         if blameless or load is None:
@@ -85,15 +85,19 @@
         load = self._loads.find(ended.endpoint)
         if load is None:
             return
-        stats = self._times.of(request.current)
-        if stats.known and not ended.stream.pace_s:
-            load.note_run_time(now, result.run_s / stats.loaded_mean_s(ended.beside))
-        stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
+        stats = self._times.of(request.current_stage)
+        if stats.known and not ended.stream.chunk_time_s:
+            load.note_run_time(
+                now, result.run_s / stats.loaded_mean_s(ended.concurrent)
+            )
+        stats.add(
+            result.run_s, result.output_bytes, ended.concurrent, ended.cached_share
+        )
         on_the_way = now - ended.sent_at - result.run_s - result.queued_s
-        if not ended.asks:
+        if not ended.queries:
             self._router.note_round_trip(load.endpoint.region, max(0.0, on_the_way))
         self._membership.succeeded(now, load)
         # An index entry names few holders: the endpoints of the other stages, which
         # cache nothing, would push the engine out before the prefix comes again.
-        if request.arrival.prefix and request.current.caches_prefixes:
+        if request.arrival.prefix and request.current_stage.caches_prefixes:
             self._prefixes.add_run(now, ended.endpoint, request.arrival.prefix)
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -156,22 +156,22 @@
         request = self._ledger.open(arrival)
         self._timers.set(arrival.deadline, request.id)
         if arrival.piece_work is not None:
-            return self._gather(now, request, arrival.piece_work)
+            return self._compute_inputs(now, request, arrival.piece_work)
         return self._start_stage(now, request)
 
     def pieces_ended(self, now: float, call: int, end: PiecesEnded) -> list[Action]:
         """Take the end of a call with pieces."""
-        return self._follow(now, self._coordinator.call_ended(now, call, end))
+        return self._apply_effects(now, self._coordinator.call_ended(now, call, end))
 
     def jobs_submitted(
         self, now: float, asker: str, asks: Iterable[PieceJob]
     ) -> list[Action]:
         """Take pieces that another entry wants made."""
-        return self._follow(now, self._coordinator.accept_jobs(now, asker, asks))
+        return self._apply_effects(now, self._coordinator.accept_jobs(now, asker, asks))
 
     def reports_received(self, now: float, told: Iterable[PieceReport]) -> list[Action]:
         """Hear from another entry what became of pieces."""
-        return self._follow(now, self._coordinator.take_reports(now, told))
+        return self._apply_effects(now, self._coordinator.take_reports(now, told))
 
     def results_freed(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
@@ -195,11 +195,11 @@
 
     def entry_leaving(self, now: float) -> list[Action]:
         """Make no more pieces for others, as this entry leaves."""
-        return self._follow(now, self._coordinator.leave(now))
+        return self._apply_effects(now, self._coordinator.leave(now))
 
     def peer_failed(self, now: float, peer: str) -> list[Action]:
         """Ask an entry that did not answer for nothing for a while."""
-        return self._follow(now, self._coordinator.peer_failed(now, peer))
+        return self._apply_effects(now, self._coordinator.peer_failed(now, peer))
 
     def peer_recovered(self, now: float, peer: str) -> list[Action]:
         """Ask an entry again that answers and takes part."""
@@ -213,12 +213,15 @@
         request = self._ledger.find(attempt.request_id)
         if request is None or attempt not in request.live:
             return []
-        ended = self._ledger.ended(request, attempt)
+        ended = self._ledger.remove_attempt(request, attempt)
         if result.outcome is AttemptOutcome.FINISHED:
-            return self._finished(now, request, ended, result)
-        if result.outcome is AttemptOutcome.LOST and not request.current.repeatable:
-            return self._ask(now, request, attempt, ended)
-        return self._recover(now, request, ended, result)
+            return self._attempt_finished(now, request, ended, result)
+        if (
+            result.outcome is AttemptOutcome.LOST
+            and not request.current_stage.repeatable
+        ):
+            return self._query_outcome(now, request, attempt, ended)
+        return self._attempt_failed(now, request, ended, result)
 
     def progress(self, now: float, attempt: AttemptId, chunks: int) -> list[Action]:
         """Note that the caller has ``chunks`` chunks of a streamed stage."""
@@ -226,16 +229,18 @@
         if request is not None and attempt in request.live:
             request.chunks = max(request.chunks, chunks)
             live = request.live[attempt]
-            if live.reading:
+            if live.pending_prefill_tokens:
                 name = request.arrival.pipeline.name
                 self._first_events.note(name, now - live.sent_at)
                 # Known as soon as it is read: the next request of a session comes
                 # before this one's stream has ended, and would be read elsewhere.
                 self._prefixes.add_run(now, live.endpoint, request.arrival.prefix)
-            self._ledger.has_read(live)
-            self._streams.note(now, request.current, live.endpoint, live.stream, chunks)
+            self._ledger.mark_prompt_read(live)
+            self._streams.note(
+                now, request.current_stage, live.endpoint, live.stream, chunks
+            )
             freed = self._inputs.free(now, request)
-            return freed + self._drop_overtaken(now, request, live)
+            return freed + self._cancel_overtaken(now, request, live)
         return []
 
     def load_report(
@@ -270,7 +275,10 @@
         request = self._ledger.find(request_id)
         if request is None:
             return []
-        return [*self._ledger.gone(request), *self._coordinator.close(now, request_id)]
+        return [
+            *self._ledger.close_disconnected(request),
+            *self._coordinator.close(now, request_id),
+        ]
 
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
@@ -278,17 +286,19 @@
         actions = self._membership.due_load_requests(now)
         actions.extend(self._load_poller.due_load_requests(now))
         actions.extend(self._inputs.free_fetched(now, self._ledger))
-        actions.extend(self._follow(now, self._coordinator.tick(now)))
+        actions.extend(self._apply_effects(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
-            actions.extend(self._look(now, timer))
+            actions.extend(self._timer_fired(now, timer))
         return actions
 
     # Pieces
 
-    def _gather(self, now: float, request: Request, work: PieceWork) -> list[Action]:
-        request.gathering = True
+    def _compute_inputs(
+        self, now: float, request: Request, work: PieceWork
+    ) -> list[Action]:
+        request.awaits_inputs = True
         arrival = request.arrival
-        news = self._coordinator.begin(
+        effects = self._coordinator.begin(
             now,
             request.id,
             work.stages,
@@ -300,39 +310,41 @@
             self._router.predicted_data_centre(now, arrival),
             self._first_events.usual_s(arrival.pipeline.name),
         )
-        return self._follow(now, news)
+        return self._apply_effects(now, effects)
 
-    def _gather_again(
+    def _recompute_inputs(
         self, now: float, request: Request, retry_cost: float
     ) -> list[Action]:
         """Make a request's inputs once more, then send it again."""
-        request.gathering = True
+        request.awaits_inputs = True
         request.retry_cost = retry_cost
         request.inputs = ()
-        return self._follow(now, self._coordinator.recompute_inputs(now, request.id))
+        return self._apply_effects(
+            now, self._coordinator.recompute_inputs(now, request.id)
+        )
 
-    def _follow(self, now: float, news: CoordinatorEffects) -> list[Action]:
-        actions = news.actions
-        for request_id in news.failed:
+    def _apply_effects(self, now: float, effects: CoordinatorEffects) -> list[Action]:
+        actions = effects.actions
+        for request_id in effects.failed:
             request = self._ledger.find(request_id)
             if request is not None:
                 actions += self._refuse(now, request, RefusalReason.STAGE_FAILED)
-        for request_id in news.late:
+        for request_id in effects.late:
             request = self._ledger.find(request_id)
             if request is not None:
                 wait_s = self._inputs.retry_after_s(now, request.arrival)
                 actions += self._refuse(now, request, RefusalReason.OVERLOAD, wait_s)
-        for request_id in news.ready:
+        for request_id in effects.ready:
             request = self._ledger.find(request_id)
-            if request is not None and request.gathering:
-                actions += self._gathered(now, request)
+            if request is not None and request.awaits_inputs:
+                actions += self._inputs_ready(now, request)
         return actions
 
-    def _gathered(self, now: float, request: Request) -> list[Action]:
-        request.gathering = False
+    def _inputs_ready(self, now: float, request: Request) -> list[Action]:
+        request.awaits_inputs = False
         request.inputs = self._coordinator.inputs_of(request.id)
         self._inputs.note_sent(now, request)
-        if not request.number:
+        if not request.stage_attempts:
             return self._start_stage(now, request)
         actions = self._dispatcher.retry(now, request, request.retry_cost)
         return actions or self._refuse(now, request, RefusalReason.STAGE_FAILED)
@@ -340,12 +352,12 @@
     # Stages
 
     def _start_stage(self, now: float, request: Request) -> list[Action]:
-        if self._is_hopeless(now, request):
+        if self._should_refuse_late(now, request):
             return self._refuse_late(now, request)
-        actions = self._dispatcher.first(now, request)
+        actions = self._dispatcher.send_first(now, request)
         return actions or self._refuse(now, request, RefusalReason.NO_ENDPOINT)
 
-    def _finished(
+    def _attempt_finished(
         self, now: float, request: Request, ended: LiveAttempt, result: AttemptResult
     ) -> list[Action]:
         self._outcome_recorder.attempt_finished(now, request, ended, result)
@@ -354,56 +366,58 @@
         actions = self._ledger.cancel_all(request)
         for loser in losers:
             self._outcome_recorder.attempt_overtaken(now, loser, ended)
-        if not self._ledger.stage_done(request):
+        if not self._ledger.advance_stage(request):
             freed = self._coordinator.close(now, request.id)
-            return [*actions, *freed, self._ledger.answered(request)]
+            return [*actions, *freed, self._ledger.close_answered(request)]
         return actions + self._start_stage(now, request)
 
-    def _is_hopeless(self, now: float, request: Request) -> bool:
-        if not self._has_too_little_left(now, request):
+    def _should_refuse_late(self, now: float, request: Request) -> bool:
+        if not self._cannot_meet_deadline(now, request):
             return False
         # What was learned may be over: with nothing at the slowest stage, one
         # request goes on, or none would ever show that the stage is well again.
         slowest = self._times.slowest(request.remaining)
         return self._loads.pool(slowest.pool).outstanding > 0
 
-    def _has_too_little_left(self, now: float, request: Request) -> bool:
+    def _cannot_meet_deadline(self, now: float, request: Request) -> bool:
         floor = self._times.floor_s(request.remaining)
         return now + floor > request.arrival.deadline
 
     # Failures
 
-    def _ask(
+    def _query_outcome(
         self, now: float, request: Request, attempt: AttemptId, lost: LiveAttempt
     ) -> list[Action]:
         load = self._loads.find(lost.endpoint)
-        if lost.asks >= MAX_ASKS or load is None:
+        if lost.queries >= MAX_ASKS or load is None:
             return self._refuse(now, request, RefusalReason.STAGE_FAILED)
-        self._ledger.asked(request, attempt, lost)
+        self._ledger.restore_attempt(request, attempt, lost)
         return [QueryAttempt(attempt, lost.endpoint)]
 
-    def _recover(
+    def _attempt_failed(
         self, now: float, request: Request, ended: LiveAttempt, result: AttemptResult
     ) -> list[Action]:
         not_run = result.outcome is AttemptOutcome.NOT_RUN
-        request.unstarted += not_run
-        request.stage_unstarted += not_run
+        request.attempts_not_run += not_run
+        request.stage_attempts_not_run += not_run
         self._outcome_recorder.attempt_failed(now, request, ended, result)
         if request.live:
             return []
         if not result.inputs_missing:
-            request.avoid |= {ended.endpoint}
+            request.excluded |= {ended.endpoint}
         reason = RefusalReason.OVERLOAD if not_run else RefusalReason.STAGE_FAILED
-        may_resend = (request.current.repeatable or not_run) and request.may_run_again
+        may_resend = (
+            request.current_stage.repeatable or not_run
+        ) and request.has_attempts_left
         if result.permanent or not may_resend or request.resends >= MAX_RESENDS:
             return self._refuse(now, request, reason, result.retry_after_s)
-        if self._has_too_little_left(now, request):
+        if self._cannot_meet_deadline(now, request):
             return self._refuse_late(now, request, result.retry_after_s)
         cost = self._retry_cost(request, ended, not_run)
         if request.arrival.piece_work is not None and (
             result.inputs_missing or not request.inputs
         ):
-            return self._gather_again(now, request, cost)
+            return self._recompute_inputs(now, request, cost)
         actions = self._dispatcher.retry(now, request, cost)
         return actions or self._refuse(now, request, reason, result.retry_after_s)
 
@@ -416,11 +430,15 @@
         otherwise use up the tries of a request that one endpoint could take.
         """
         load = self._loads.find(ended.endpoint)
-        if not_run and load is not None and not load.accepts(request.current.model):
+        if (
+            not_run
+            and load is not None
+            and not load.accepts(request.current_stage.model)
+        ):
             return 0.0
         return self._settings.not_run_cost if not_run else FAILURE_COST
 
-    def _drop_overtaken(
+    def _cancel_overtaken(
         self, now: float, request: Request, ahead: LiveAttempt
     ) -> list[Action]:
         """Cancel attempts that a later one of the same stream has passed."""
@@ -431,7 +449,7 @@
         ]
         actions: list[Action] = []
         for attempt in passed:
-            loser = self._ledger.ended(request, attempt)
+            loser = self._ledger.remove_attempt(request, attempt)
             self._outcome_recorder.attempt_overtaken(now, loser, ahead)
             actions.append(Cancel(attempt, loser.endpoint))
         return actions
@@ -458,21 +476,21 @@
         backlog = self._admission.retry_after_s(now, request.remaining)
         freed = self._coordinator.close(now, request.id)
         wait_s = max(retry_after_s, backlog)
-        return [*freed, *self._ledger.refused(request, reason, wait_s)]
+        return [*freed, *self._ledger.close_refused(request, reason, wait_s)]
 
     # Timers
 
-    def _look(self, now: float, timer: Timer) -> list[Action]:
+    def _timer_fired(self, now: float, timer: Timer) -> list[Action]:
         request = self._ledger.find(timer.request_id)
         if request is None:
             return []
         if timer.attempt is None:
-            return self._too_late(now, request)
+            return self._deadline_passed(now, request)
         if timer.attempt not in request.live:
             return []
         return self._dispatcher.hedge(now, request, timer.attempt)
 
-    def _too_late(self, now: float, request: Request) -> list[Action]:
+    def _deadline_passed(self, now: float, request: Request) -> list[Action]:
         self._outcome_recorder.deadline_passed(now, request)
         return self._refuse(now, request, RefusalReason.DEADLINE)
 
--- a/packages/policy/src/amaranthtally/policy/request_ledger.py
+++ b/packages/policy/src/amaranthtally/policy/request_ledger.py
@@ -27,12 +27,12 @@
     refused_on_arrival: int = 0
     answered: int = 0
     refused: int = 0
-    gone: int = 0
+    disconnected: int = 0
     retries: int = 0
     hedges: int = 0
     probes: int = 0
     ejections: int = 0
-    away: int = 0
+    cross_region: int = 0
 
 
 class RequestLedger:
@@ -67,20 +67,20 @@
             self._loads.pool(stage.pool).pending += 1
         return request
 
-    def stage_done(self, request: Request) -> bool:
+    def advance_stage(self, request: Request) -> bool:
         """Go on to the next stage; false when there is none."""
         ensure(not request.live, "a stage ends with no attempt live")
-        self._passed(request.current.pool)
+        self._passed(request.current_stage.pool)
         request.next_stage()
         return bool(request.remaining)
 
-    def answered(self, request: Request) -> Answer:
+    def close_answered(self, request: Request) -> Answer:
         """End a request with its answer."""
         self._close(request)
         self._counters.answered += 1
         return Answer(request.id)
 
-    def refused(
+    def close_refused(
         self, request: Request, reason: RefusalReason, retry_after_s: float
     ) -> list[Action]:
         """End a request without an answer; its live attempts are cancelled."""
@@ -100,16 +100,16 @@
         self._counters.refused += 1
         return [*cancels, Refuse(request.id, outcome, reason, retry_after_s)]
 
-    def gone(self, request: Request) -> list[Action]:
+    def close_disconnected(self, request: Request) -> list[Action]:
         """End a request whose caller has gone."""
         cancels = self.cancel_all(request)
         self._close(request)
-        self._counters.gone += 1
+        self._counters.disconnected += 1
         return cancels
 
     # Attempts
 
-    def sent(
+    def add_attempt(
         self, request: Request, load: EndpointLoad, attempt: LiveAttempt
     ) -> AttemptId:
         """Note an attempt that is sent now."""
@@ -118,44 +118,44 @@
         # asked there also when it leaves, and its sidecar starts nothing new.
         bound = request.bound_to == load.endpoint.id
         ensure(bound or not load.leaving, "no new work to a leaving endpoint")
-        stage = request.current
+        stage = request.current_stage
         ensure(
             stage.repeatable or not request.live,
             "a stage that may not be repeated has one live attempt",
         )
-        request.number += 1
-        request.sent += 1
-        attempt_id = AttemptId(request.id, request.stage, request.number)
+        request.stage_attempts += 1
+        request.attempts_sent += 1
+        attempt_id = AttemptId(request.id, request.stage_index, request.stage_attempts)
         request.live[attempt_id] = attempt
         self._loads.add_attempt(load)
-        load.pending_prefill_tokens += attempt.reading
+        load.pending_prefill_tokens += attempt.pending_prefill_tokens
         return attempt_id
 
-    def ended(self, request: Request, attempt_id: AttemptId) -> LiveAttempt:
+    def remove_attempt(self, request: Request, attempt_id: AttemptId) -> LiveAttempt:
         """Note that an attempt has ended, or is no longer wanted."""
         attempt = request.live.pop(attempt_id)
-        self.has_read(attempt)
-        self._loads.remove_attempt(attempt.endpoint, request.current.pool)
+        self.mark_prompt_read(attempt)
+        self._loads.remove_attempt(attempt.endpoint, request.current_stage.pool)
         return attempt
 
-    def has_read(self, attempt: LiveAttempt) -> None:
+    def mark_prompt_read(self, attempt: LiveAttempt) -> None:
         """Note that an attempt's prompt is read, or is no longer wanted."""
         load = self._loads.find(attempt.endpoint)
         if load is not None:
             # One that was forgotten and registered anew starts from 0 again.
             load.pending_prefill_tokens = max(
-                0, load.pending_prefill_tokens - attempt.reading
+                0, load.pending_prefill_tokens - attempt.pending_prefill_tokens
             )
-        attempt.reading = 0
+        attempt.pending_prefill_tokens = 0
 
-    def asked(
+    def restore_attempt(
         self, request: Request, attempt_id: AttemptId, attempt: LiveAttempt
     ) -> None:
         """Take an attempt back as live, since its sidecar is asked about it."""
         ensure(self._requests.get(request.id) is request, "nothing asked after an end")
         load = self._loads.find(attempt.endpoint)
         ensure(load is not None, "only an endpoint that is known is asked")
-        attempt.asks += 1
+        attempt.queries += 1
         request.live[attempt_id] = attempt
         if load is not None:
             self._loads.add_attempt(load)
@@ -164,7 +164,7 @@
         """Cancel every live attempt of a request."""
         cancels: list[Action] = []
         for attempt_id in list(request.live):
-            endpoint = self.ended(request, attempt_id).endpoint
+            endpoint = self.remove_attempt(request, attempt_id).endpoint
             cancels.append(Cancel(attempt_id, endpoint))
         return cancels
 
@@ -182,7 +182,7 @@
             self._passed(stage.pool)
         counters = self._counters
         # The one that is being closed is counted right after.
-        ended = counters.answered + counters.refused + counters.gone + 1
+        ended = counters.answered + counters.refused + counters.disconnected + 1
         ensure(
             counters.admitted == ended + len(self._requests),
             "every admitted request is in flight or ended",
--- a/packages/policy/src/amaranthtally/policy/requests.py
+++ b/packages/policy/src/amaranthtally/policy/requests.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.events import Arrival
 from amaranthtally.policy.model import AttemptId, Stage
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.stream_progress import Stream
+from amaranthtally.policy.stream_progress import StreamProgress
 
 __all__ = ["LiveAttempt", "Request"]
 
@@ -24,13 +24,13 @@
     sent_at: float
     wait_s: float
     run_s: float
-    beside: float
-    cached: float = 0.0
+    concurrent: float
+    cached_share: float = 0.0
     hedge: bool = False
     probe: bool = False
-    asks: int = 0
-    reading: int = 0
-    stream: Stream = field(default_factory=Stream)
+    queries: int = 0
+    pending_prefill_tokens: int = 0
+    stream: StreamProgress = field(default_factory=StreamProgress)
 
 
 @dataclass(slots=True)
@@ -47,25 +47,25 @@
     """
 
     arrival: Arrival
-    stage: int = 0
-    number: int = 0
+    stage_index: int = 0
+    stage_attempts: int = 0
     resends: int = 0
-    sent: int = 0
-    unstarted: int = 0
-    stage_unstarted: int = 0
+    attempts_sent: int = 0
+    attempts_not_run: int = 0
+    stage_attempts_not_run: int = 0
     chunks: int = 0
     previous_bytes: int = 0
     inputs: tuple[StoredResult, ...] = ()
-    gathering: bool = False
+    awaits_inputs: bool = False
     retry_cost: float = 0.0
-    avoid: frozenset[str] = frozenset()
+    excluded: frozenset[str] = frozenset()
     live: dict[AttemptId, LiveAttempt] = field(default_factory=dict)
     remaining: tuple[Stage, ...] = field(init=False)
-    current: Stage = field(init=False)
+    current_stage: Stage = field(init=False)
 
     def __post_init__(self) -> None:
         self.remaining = self.arrival.pipeline.stages
-        self.current = self.remaining[0]
+        self.current_stage = self.remaining[0]
 
     @property
     def id(self) -> str:
@@ -75,27 +75,27 @@
     @property
     def bound_to(self) -> str:
         """The one endpoint that may run the current stage; empty where any may."""
-        return self.arrival.bound.get(self.stage, "")
+        return self.arrival.bound.get(self.stage_index, "")
 
     @property
-    def may_run_again(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Whether another endpoint may run the current stage."""
-        limit = self.current.max_attempts
-        return not limit or self.number - self.stage_unstarted < limit
+        limit = self.current_stage.max_attempts
+        return not limit or self.stage_attempts - self.stage_attempts_not_run < limit
 
     @property
     def nothing_started(self) -> bool:
         """Whether every attempt sent is proved not to have started."""
-        return self.sent == self.unstarted
+        return self.attempts_sent == self.attempts_not_run
 
     def next_stage(self) -> None:
         """Go on to the next stage, or past the last."""
-        self.stage += 1
+        self.stage_index += 1
         self.remaining = self.remaining[1:]
         if self.remaining:
-            self.current = self.remaining[0]
-        self.number = 0
+            self.current_stage = self.remaining[0]
+        self.stage_attempts = 0
         self.resends = 0
-        self.stage_unstarted = 0
+        self.stage_attempts_not_run = 0
         self.chunks = 0
-        self.avoid = frozenset()
+        self.excluded = frozenset()
--- a/packages/policy/src/amaranthtally/policy/stream_monitor.py
+++ b/packages/policy/src/amaranthtally/policy/stream_monitor.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.requests import LiveAttempt, Request
 from amaranthtally.policy.scoring import Choice
 from amaranthtally.policy.stage_times import StageStats, StageTimes
-from amaranthtally.policy.stream_progress import Stream
+from amaranthtally.policy.stream_progress import StreamProgress
 
 __all__ = ["STUCK_FACTOR", "StreamMonitor"]
 
@@ -29,10 +29,15 @@
         self._loads = loads
 
     def note(
-        self, now: float, stage: Stage, endpoint: str, stream: Stream, chunks: int
+        self,
+        now: float,
+        stage: Stage,
+        endpoint: str,
+        stream: StreamProgress,
+        chunks: int,
     ) -> None:
         """Learn from a chunk how fast its endpoint and the stage are."""
-        interval_s = stream.note(now, chunks)
+        interval_s = stream.add_chunks(now, chunks)
         load = self._loads.find(endpoint)
         if interval_s <= 0 or load is None:
             return
@@ -51,12 +56,12 @@
         sent there; by then many more would have followed them.
         """
         load = self._loads.find(attempt.endpoint)
-        usual_s = stats.chunk_time_s(attempt.beside)
-        heard_at = attempt.stream.heard_at
+        usual_s = stats.chunk_time_s(attempt.concurrent)
+        last_chunk_at = attempt.stream.last_chunk_at
         # Before the first chunk it may as well wait in a queue that nobody knew of.
-        if load is None or usual_s <= 0 or not heard_at:
+        if load is None or usual_s <= 0 or not last_chunk_at:
             return
-        ratio = (now - heard_at) / usual_s
+        ratio = (now - last_chunk_at) / usual_s
         if ratio >= OVERDUE:
             load.note_chunk_time(now, ratio)
 
@@ -72,17 +77,17 @@
         after longer than nearly any whole run is taken to be stuck: its engine
         stands still, and half of the deadline goes by before its sidecar says so.
         """
-        usual_s = stats.chunk_time_s(attempt.beside)
+        usual_s = stats.chunk_time_s(attempt.concurrent)
         stream = attempt.stream
         done_s = stream.chunks * usual_s
         left_s = end - now
-        if not stream.heard_at:
+        if not stream.last_chunk_at:
             silent_s = now - attempt.sent_at - attempt.wait_s
             if stats.known and silent_s > STUCK_FACTOR * stats.p99_s:
                 return 1.0
             return _tail_after(stats, done_s, left_s)
-        quiet_s = now - stream.heard_at
-        slowness = max(1.0, stream.pace_s / usual_s, quiet_s / usual_s - 1.0)
+        quiet_s = now - stream.last_chunk_at
+        slowness = max(1.0, stream.chunk_time_s / usual_s, quiet_s / usual_s - 1.0)
         done_s += min(usual_s, quiet_s / slowness)
         return _tail_after(stats, done_s, left_s / slowness)
 
@@ -90,7 +95,7 @@
         self, now: float, request: Request, choice: Choice, end: float
     ) -> float:
         """Return the probability that the rest of a stream ends late elsewhere."""
-        stats = self._times.of(request.current)
+        stats = self._times.of(request.current_stage)
         done_s = request.chunks * stats.chunk_time_s(choice.concurrent)
         slowness = choice.run_s / stats.mean_s
         left_s = (end - now - choice.delay_s) / slowness
--- a/tests/policy/test_caller_departures.py
+++ b/tests/policy/test_caller_departures.py
@@ -24,9 +24,7 @@
 
 def arrive(driver, now=NOW, pieces=1, **options):
     work = PieceWork((PieceStage("catalogue", (), 8e3),), (pieces,), "key")
-    return driver.arrive(
-        now, deadline_s=DEADLINE_S, piece_work=work, **options
-    )
+    return driver.arrive(now, deadline_s=DEADLINE_S, piece_work=work, **options)
 
 
 def refusals(actions):
--- a/tests/policy_machines/oracle.py
+++ b/tests/policy_machines/oracle.py
@@ -67,7 +67,7 @@
         self._rules = {
             Send: self._send,
             Cancel: self._cancel,
-            QueryAttempt: self._ask,
+            QueryAttempt: self._query_outcome,
             PollLoad: self._greet,
             Answer: self._answer,
             Refuse: self._refuse,
@@ -155,7 +155,7 @@
         assert flight.endpoint == cancel.endpoint
         self.gone.append(flight)
 
-    def _ask(self, ask: QueryAttempt) -> None:
+    def _query_outcome(self, ask: QueryAttempt) -> None:
         tracked = self.live[ask.attempt.request_id]
         stage = tracked.arrival.pipeline.stages[ask.attempt.stage]
         assert not stage.repeatable
--- a/tests/policy_machines/test_machines.py
+++ b/tests/policy_machines/test_machines.py
@@ -45,7 +45,7 @@
     "everything counts as not run": (Request, "nothing_started", True),
     "endpoints never leave": (Membership, "mark_leaving", lambda *_: None),
     "attempts are not cancelled": (RequestLedger, "cancel_all", lambda *_: []),
-    "deadlines pass unnoticed": (Planner, "_too_late", lambda *_: []),
+    "deadlines pass unnoticed": (Planner, "_deadline_passed", lambda *_: []),
 }
 
 
