--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -143,7 +143,7 @@
             pool=endpoint.pool,
             data_centre=endpoint.data_centre,
             pieces=len(order.pieces),
-            places=details.places,
+            places=details.batch_limit,
             waiting=details.waiting,
             waited_ms=round(details.waited_s * MS_PER_S),
             memory_kb=_kilobytes(details.memory_bytes),
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -132,7 +132,7 @@
 
     def take(self, handover: Handover) -> bool:
         """Keep a stopped peer's records; false where there is no room for them."""
-        return self._handed.take(self._runner.clock_s, handover)
+        return self._handed.accept(self._runner.clock_s, handover)
 
     def handovers(self, endpoint: str, final: bool) -> list[Handover]:
         """
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -250,7 +250,7 @@
         try:
             end = await call_endpoint(self._adapter, target)
         except BaseException:
-            self._queue.released()
+            self._queue.aborted()
             self._start_next()
             raise
         if end.missing:
@@ -287,7 +287,7 @@
         """
         if self._next_drop is not None:
             self._next_drop.cancel()
-        at = self._queue.drops_at()
+        at = self._queue.next_drop_at()
         self._next_drop = None
         if at is not None:
             self._next_drop = self._loop.call_at(at + DROP_SLACK_S, self._start_next)
@@ -296,7 +296,7 @@
         if self._starts.pop(queued.serial, None) is not None:
             self._queue.withdraw(queued)
             return
-        self._queue.released()
+        self._queue.aborted()
         self._start_next()
 
     # Replies
--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -218,7 +218,7 @@
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
         """Note that a call ended; a failure leaves the limit as it is."""
         if failed:
-            self.released()
+            self.aborted()
         else:
             super().finished(now, run_s)
 
--- a/packages/operator/src/amaranthtally/operator/replay/queues.py
+++ b/packages/operator/src/amaranthtally/operator/replay/queues.py
@@ -67,6 +67,6 @@
         """Note that a running call ended."""
         self._running -= 1
 
-    def released(self) -> None:
+    def aborted(self) -> None:
         """Note that a running call was cut off."""
         self._running -= 1
--- a/packages/operator/src/amaranthtally/operator/replay/sidecar.py
+++ b/packages/operator/src/amaranthtally/operator/replay/sidecar.py
@@ -65,7 +65,7 @@
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
         """Note that a running call ended, or failed."""
 
-    def released(self) -> None:
+    def aborted(self) -> None:
         """Note that a running call was cut off."""
 
 
@@ -185,7 +185,7 @@
         elif call.run is not None and call.repeatable:
             self._endpoint.cancel(call.run)
             self._note_end(call)
-            self._queue.released()
+            self._queue.aborted()
             self._start_next()
         self._note_load()
 
--- a/packages/policy/src/amaranthtally/policy/__init__.py
+++ b/packages/policy/src/amaranthtally/policy/__init__.py
@@ -1,8 +1,9 @@
 """
-Every decision of the system, without I/O, clocks or global random numbers.
+All decisions of the system, free of I/O, clocks and global random numbers.
 
-``Planner`` decides for an entry and ``RunQueue`` for a sidecar. Both take events
-with a time stamp, in seconds of any monotonic clock, and return actions.
+``Planner`` decides for an entry and ``RunQueue`` for a sidecar. Their methods take
+time stamps in seconds of any monotonic clock, so that tests and simulations can run
+them on virtual time. The planner returns the actions that its caller has to execute.
 """
 
 from amaranthtally.policy.actions import (
--- a/packages/policy/src/amaranthtally/policy/accounts.py
+++ b/packages/policy/src/amaranthtally/policy/accounts.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts, and fair shares of what is left under overload."""
+"""Rate limits of client accounts, and their fair shares of capacity under overload."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,39 +9,45 @@
 
 __all__ = ["AccountShares"]
 
-MEMORY_S = 5.0
+# Time constant of the exponential decay of offered and admitted work, in seconds.
+DECAY_S = 5.0
+# Interval between computations of the fair level, in seconds.
 REFRESH_S = 0.5
-OVERLOAD = 1.05
+# Ratio of offered to admitted work above which the entry counts as overloaded.
+OVERLOAD_RATIO = 1.05
+# Offered work in seconds below which an account without a rate limit is forgotten.
 IDLE_WORK_S = 1e-3
 NO_LIMITS = AccountLimits()
 
 
 @dataclass(slots=True)
-class _Account:
-    at: float
+class _AccountUsage:
+    updated_at: float
     offered: float = 0.0
     admitted: float = 0.0
     limit: RateLimit | None = None
 
-    def fade(self, now: float) -> None:
-        factor = exp(-max(0.0, now - self.at) / MEMORY_S)
+    def decay(self, now: float) -> None:
+        factor = exp(-max(0.0, now - self.updated_at) / DECAY_S)
         self.offered *= factor
         self.admitted *= factor
-        self.at = max(self.at, now)
+        self.updated_at = max(self.updated_at, now)
 
 
 class AccountShares:
     """
-    Work offered and admitted by account, fading over ``MEMORY_S`` seconds.
-
-    Under overload the admitted work is divided by maximum and minimum: an
-    account that asks for less than its share gets all of it, and what it leaves
-    goes to the others by weight. The level is worked out twice a second, so that
-    a decision does not grow with the number of accounts.
+    Tracks the work offered and admitted by account, and enforces rate limits.
+
+    Both decay exponentially with the time constant ``DECAY_S``. Under overload the
+    capacity, taken to be the admitted work, is divided by weighted max-min fairness:
+    an account that offers less than its share has all of it admitted, and the rest is
+    divided among the others by weight. The level of this division is computed only
+    twice a second, so that the cost of a decision does not grow with the number of
+    accounts.
     """
 
     def __init__(self) -> None:
-        self._accounts: dict[str, _Account] = {}
+        self._accounts: dict[str, _AccountUsage] = {}
         self._limits: Mapping[str, AccountLimits] = {}
         self._entries = 1
         self._level = inf
@@ -52,77 +58,83 @@
 
     @property
     def level(self) -> float:
-        """Seconds of work held for each unit of share; infinite when none lacks."""
+        """Fair work in seconds per unit of share; infinite without overload."""
         return self._level
 
     def configure(self, limits: Mapping[str, AccountLimits], entries: int) -> None:
-        """Use other limits; each entry enforces its part of a rate."""
+        """Change the limits; each of ``entries`` enforces an equal part of a rate."""
         self._limits = limits
         self._entries = max(1, entries)
         for name, account in self._accounts.items():
-            account.limit = self._limit_of(account.at, name, account.limit)
+            account.limit = self._limit_of(account.updated_at, name, account.limit)
 
     def rate_wait_s(self, now: float, account: str) -> float:
-        """Return the seconds until the account's rate allows a request."""
-        limit = self._of(now, account).limit
+        """Return the seconds until the account's rate limit allows a request."""
+        limit = self._usage(now, account).limit
         return 0.0 if limit is None else limit.wait_s(now)
 
     def allowance(self, now: float, account: str) -> float:
-        """Return the part of the allowed wait that an account may use, 0 to 1."""
+        """
+        Return the factor, 0 to 1, by which the account's allowed wait is reduced.
+
+        It is 1 for an account within its fair share, else the ratio of that share to
+        the work admitted for it.
+        """
         if self._level == inf:
             return 1.0
-        found = self._of(now, account)
-        found.fade(now)
+        usage = self._usage(now, account)
+        usage.decay(now)
         fair = self._level * self._share(account)
-        return 1.0 if found.admitted <= fair else fair / found.admitted
+        return 1.0 if usage.admitted <= fair else fair / usage.admitted
 
-    def offered(self, now: float, account: str, work_s: float) -> None:
-        """Note a request and the work it asks for, in seconds."""
-        found = self._of(now, account)
-        found.fade(now)
-        found.offered += work_s
+    def add_offered(self, now: float, account: str, work_s: float) -> None:
+        """Count the work of a request that arrived, in seconds."""
+        usage = self._usage(now, account)
+        usage.decay(now)
+        usage.offered += work_s
 
-    def admitted(self, account: str, work_s: float) -> None:
-        """Note that the request offered last is admitted; takes a rate token."""
-        found = self._accounts[account]
-        found.admitted += work_s
-        if found.limit is not None:
-            found.limit.take()
+    def add_admitted(self, account: str, work_s: float) -> None:
+        """Count the last offered request as admitted, and take a rate-limit token."""
+        usage = self._accounts[account]
+        usage.admitted += work_s
+        if usage.limit is not None:
+            usage.limit.take()
 
     def refresh(self, now: float) -> None:
-        """Work the level out again when it is due; forget idle accounts."""
+        """Recompute the fair level if it is due, and forget idle accounts."""
         if now - self._refreshed_at < REFRESH_S:
             return
         self._refreshed_at = now
         for name in list(self._accounts):
             account = self._accounts[name]
-            account.fade(now)
+            account.decay(now)
             if account.offered < IDLE_WORK_S and account.limit is None:
                 del self._accounts[name]
         offered = sum(a.offered for a in self._accounts.values())
         admitted = sum(a.admitted for a in self._accounts.values())
-        overloaded = offered > OVERLOAD * admitted
-        self._level = self._divide(admitted) if overloaded else inf
+        overloaded = offered > OVERLOAD_RATIO * admitted
+        self._level = self._fair_level(admitted) if overloaded else inf
 
-    def _divide(self, capacity: float) -> float:
-        asking = sorted(
+    def _fair_level(self, capacity: float) -> float:
+        """Return the level at which the accounts' fair work adds up to ``capacity``."""
+        demands = sorted(
             (account.offered / self._share(name), self._share(name))
             for name, account in self._accounts.items()
         )
-        weight = sum(share for _, share in asking)
-        for demand, share in asking:
+        weight = sum(share for _, share in demands)
+        for demand, share in demands:
             if demand * weight >= capacity:
                 return capacity / weight
             capacity -= demand * share
             weight -= share
         return inf
 
-    def _of(self, now: float, name: str) -> _Account:
-        found = self._accounts.get(name)
-        if found is None:
+    def _usage(self, now: float, name: str) -> _AccountUsage:
+        usage = self._accounts.get(name)
+        if usage is None:
             limit = self._limit_of(now, name, None)
-            found = self._accounts[name] = _Account(now, limit=limit)
-        return found
+            usage = self._accounts[name] = _AccountUsage(now, limit=limit)
+        return usage
 
     def _limit_of(
         self, now: float, name: str, current: RateLimit | None
--- a/packages/policy/src/amaranthtally/policy/actions.py
+++ b/packages/policy/src/amaranthtally/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the policy returns, for the daemon to carry out in order."""
+"""Actions that the policy returns; the daemon executes them in order."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -29,7 +29,7 @@
 
 
 class RequestOutcome(Enum):
-    """What a refusal says of the request."""
+    """Whether a refused request may have run: certainly not, or unknown."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -51,9 +51,10 @@
 @dataclass(frozen=True, slots=True)
 class Send:
     """
-    Send one attempt to an endpoint. ``deadline`` is the attempt's own, in seconds.
+    Send one attempt to an endpoint; ``deadline`` is the attempt's own time stamp.
 
-    ``resume_offset`` counts the chunks that the caller already has.
+    ``resume_offset`` is the number of chunks that the caller already has: a resumed
+    stream starts after them.
     """
 
     attempt: AttemptId
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt whose answer is no longer wanted."""
+    """Cancel an attempt whose result is no longer needed."""
 
     attempt: AttemptId
     endpoint: str
@@ -73,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryAttempt:
-    """Ask the incarnation that an attempt was bound to what became of it."""
+    """Query the incarnation that an attempt is bound to for the attempt's outcome."""
 
     attempt: AttemptId
     endpoint: str
@@ -81,21 +82,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PollLoad:
-    """Ask an endpoint's sidecar for its load, without giving it work."""
+    """Request a load report from an endpoint's sidecar without sending it a call."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Every stage has finished: give the caller the whole answer."""
+    """Send the caller the complete answer: every stage has finished."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End the request without an answer, at once; ``retry_after_s`` in seconds."""
+    """
+    End the request immediately without an answer.
+
+    The caller may retry after ``retry_after_s`` seconds.
+    """
 
     request_id: str
     outcome: RequestOutcome
@@ -108,8 +113,8 @@
     """
     One piece of a request's stage; ``deadline`` is a time stamp in seconds.
 
-    ``key`` names the input of a piece that reads no results, ``inputs`` the results
-    that it reads.
+    ``inputs`` holds the handles of the stored results that the piece reads. A piece
+    that reads none takes its input from ``key``.
     """
 
     request_id: str
@@ -122,14 +127,14 @@
 
 class CallDetails(NamedTuple):
     """
-    What a call with pieces was decided on, for the log.
+    The state in which a call with pieces was composed, for the log.
 
-    ``waiting`` pieces were there for ``places``; the one that had waited longest did
-    so for ``waited_s``. ``memory_bytes`` were left for results; ``shortage`` says
-    what kept the call from being full.
+    ``waiting`` pieces were queued for a call of at most ``batch_limit``; the oldest of
+    those chosen had waited for ``waited_s`` seconds. ``memory_bytes`` were free for
+    results. ``shortage`` says why the call holds fewer pieces than ``batch_limit``.
     """
 
-    places: int = 0
+    batch_limit: int = 0
     waiting: int = 0
     waited_s: float = 0.0
     memory_bytes: float = 0.0
@@ -141,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunPieces:
-    """Send one call with pieces of any requests; give it up after ``timeout_s``."""
+    """Send one call with pieces of any requests; it times out after ``timeout_s``."""
 
     call: int
     endpoint: str
@@ -153,9 +158,9 @@
 @dataclass(frozen=True, slots=True)
 class FreeResults:
     """
-    Tell an endpoint that nobody reads these results any more.
+    Let an endpoint delete stored results that no request needs any more.
 
-    The one that was kept longest was so for ``held_s`` seconds.
+    ``held_s`` is the age of the oldest of them in seconds.
     """
 
     endpoint: str
@@ -165,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitToPeer:
-    """Ask another entry to have pieces made by the endpoints that it calls."""
+    """Submit jobs to another entry, to be run at the endpoints that it calls."""
 
     peer: str
     jobs: tuple[PieceJob, ...]
@@ -173,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportToPeer:
-    """Tell another entry what became of pieces that it asked for."""
+    """Report to another entry the outcomes of jobs that it submitted."""
 
     peer: str
     reports: tuple[PieceReport, ...]
@@ -182,9 +187,10 @@
 @dataclass(frozen=True, slots=True)
 class FreeAtPeer:
     """
-    Tell the entry that calls their makers that results are read no more.
+    Release results through the entry that calls the endpoints which store them.
 
-    ``ended`` names a request that has ended, whose pieces need not be made.
+    ``ended`` is the id of a request that has ended, if any: its remaining pieces need
+    not be computed.
     """
 
     peer: str
--- a/packages/policy/src/amaranthtally/policy/admission.py
+++ b/packages/policy/src/amaranthtally/policy/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is admitted on arrival, and when a refused one may come back."""
+"""Admission of requests on arrival, and retry times for those that are refused."""
 
 from dataclasses import dataclass
 from random import Random
@@ -13,14 +13,15 @@
 
 __all__ = ["ADMITTED", "Admission", "AdmissionDecision"]
 
+# Share of a retry time that is added at random, at most.
 RETRY_JITTER = 0.25
-LEAST_RETRY_AFTER_S = 0.05
-LONGEST_RETRY_AFTER_S = 60.0
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """Why a request is refused, or no reason; ``retry_after_s`` in seconds."""
+    """The reason for a refusal, ``None`` if admitted; ``retry_after_s`` in seconds."""
 
     reason: RefusalReason | None = None
     retry_after_s: float = 0.0
@@ -37,12 +38,12 @@
 
 class Admission:
     """
-    Admits what is predicted to finish within a part of its deadline.
+    Admits requests that are predicted to finish within a share of their deadline.
 
-    Each pool's wait counts every admitted request that has yet to pass it, so a
-    burst is seen on arrival and not when it has reached the slow stage. While
-    work waits at one stage, the earlier ones drain: the longest wait counts, not
-    the sum.
+    A pool's predicted wait includes all admitted requests that have not yet finished
+    their stage in it. A burst thus counts as soon as it arrives, and not only when it
+    reaches the slow stage. The wait of a request is the longest of its pools' waits and
+    not their sum, since the other pools drain while work queues at the slowest.
     """
 
     def __init__(
@@ -59,59 +60,66 @@
         self._headroom = 1.0
 
     def configure(self, headroom: float) -> None:
-        """Let predicted completions use this share of a deadline."""
+        """Set the share of a deadline within which requests must finish."""
         self._headroom = headroom
 
     def decide(self, now: float, arrival: Arrival) -> AdmissionDecision:
-        """Decide, and count the request for its account."""
+        """Admit or refuse a request, and count its work for its account."""
         stages = arrival.pipeline.stages
         work_s = self._times.median_s(stages)
-        self._accounts.offered(now, arrival.account, work_s)
-        rate_wait = self._accounts.rate_wait_s(now, arrival.account)
-        if rate_wait > 0:
-            return self.refused(RefusalReason.ACCOUNT_LIMIT, rate_wait)
-        verdict = self._judge_backlog(now, arrival)
-        if verdict.reason is None:
-            self._accounts.admitted(arrival.account, work_s)
-        return verdict
+        self._accounts.add_offered(now, arrival.account, work_s)
+        rate_wait_s = self._accounts.rate_wait_s(now, arrival.account)
+        if rate_wait_s > 0:
+            return self.refuse(RefusalReason.ACCOUNT_LIMIT, rate_wait_s)
+        decision = self._check_backlog(now, arrival)
+        if decision.reason is None:
+            self._accounts.add_admitted(arrival.account, work_s)
+        return decision
 
     def retry_after_s(self, now: float, stages: tuple[Stage, ...]) -> float:
-        """Return when to come back: once the longest backlog has drained."""
-        wait = max((self._backlog(now, stage).wait_s for stage in stages), default=0.0)
-        return self._spread(wait)
+        """Return the seconds until the longest backlog has drained, with jitter."""
+        wait_s = max(
+            (self._backlog(now, stage).wait_s for stage in stages), default=0.0
+        )
+        return self._add_jitter(wait_s)
 
-    def _judge_backlog(self, now: float, arrival: Arrival) -> AdmissionDecision:
+    def _check_backlog(self, now: float, arrival: Arrival) -> AdmissionDecision:
         stages = arrival.pipeline.stages
         backlog = max((self._backlog(now, s) for s in stages), key=lambda b: b.wait_s)
         slowest = self._times.slowest(stages)
-        # An idle pool admits whatever its past: a stage that was slow for a while
-        # would otherwise be refused for ever, as nothing ran to show otherwise.
+        # With nothing pending, run times measured earlier don't count: a stage that was
+        # once slower than the deadline would otherwise be refused for ever, as no
+        # request would run that could show that it has recovered.
         if backlog.wait_s == 0.0 and self._backlog(now, slowest).idle:
             return ADMITTED
-        budget = arrival.deadline - now
-        needed = self._times.needed_s(stages)
-        if needed > budget:
-            return self.refused(RefusalReason.OVERLOAD, backlog.wait_s)
-        room = max(0.0, budget * self._headroom - needed)
-        fair = room * self._accounts.allowance(now, arrival.account)
-        allowed = min(room, max(fair, backlog.mean_s))
-        if backlog.wait_s <= allowed:
+        remaining_s = arrival.deadline - now
+        needed_s = self._times.needed_s(stages)
+        if needed_s > remaining_s:
+            return self.refuse(RefusalReason.OVERLOAD, backlog.wait_s)
+        max_wait_s = max(0.0, remaining_s * self._headroom - needed_s)
+        fair_wait_s = max_wait_s * self._accounts.allowance(now, arrival.account)
+        allowed_wait_s = min(max_wait_s, max(fair_wait_s, backlog.mean_s))
+        if backlog.wait_s <= allowed_wait_s:
             return ADMITTED
-        reason = RefusalReason.OVERLOAD if fair >= room else RefusalReason.ACCOUNT_LIMIT
-        return self.refused(reason, backlog.wait_s - allowed)
+        reason = (
+            RefusalReason.OVERLOAD
+            if fair_wait_s >= max_wait_s
+            else RefusalReason.ACCOUNT_LIMIT
+        )
+        return self.refuse(reason, backlog.wait_s - allowed_wait_s)
 
     def _backlog(self, now: float, stage: Stage) -> _Backlog:
         pool = self._loads.pool(stage.pool)
-        # While work waits, every slot is taken, and batches are at their slowest.
+        # Work queues only while every slot is busy, when batched calls are slowest.
         mean_s = self._times.of(stage).peak_mean_s
         return _Backlog(pool.wait_s(now, mean_s), mean_s, pool.pending == 0)
 
-    def refused(self, reason: RefusalReason, wait_s: float) -> AdmissionDecision:
-        """Return a refusal that names a time to come back, spread a little."""
-        return AdmissionDecision(reason, self._spread(wait_s))
+    def refuse(self, reason: RefusalReason, wait_s: float) -> AdmissionDecision:
+        """Return a refusal with a retry time; jitter is added to ``wait_s``."""
+        return AdmissionDecision(reason, self._add_jitter(wait_s))
 
-    def _spread(self, wait_s: float) -> float:
-        # Callers refused together would come back together; a little jitter
-        # spreads them, and never asks one to come before its backlog has gone.
-        wait_s = min(LONGEST_RETRY_AFTER_S, max(LEAST_RETRY_AFTER_S, wait_s))
+    def _add_jitter(self, wait_s: float) -> float:
+        # Callers that were refused at the same time would retry at the same time. The
+        # jitter only adds to the wait, so that no one retries before it has passed.
+        wait_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
         return wait_s * (1.0 + RETRY_JITTER * self._random.random())
--- a/packages/policy/src/amaranthtally/policy/at_most_once.py
+++ b/packages/policy/src/amaranthtally/policy/at_most_once.py
@@ -1,8 +1,8 @@
 """
-Decisions on calls that may not be repeated.
+Decisions on calls that must run at most once.
 
-A call is named by its key and bound to one incarnation of one sidecar. That
-incarnation's ``CallLedger`` is the only authority on what became of it.
+Such a call is identified by its key and bound to one incarnation of one sidecar. The
+``CallLedger`` of that incarnation is the only authority on whether the call has run.
 """
 
 from collections import OrderedDict
@@ -24,18 +24,19 @@
     "rank_binding_candidates",
 ]
 
-# Kept beyond ``ttl``, in seconds: an entry works out a binding's age from its own
-# clock, which may run faster than the sidecar's by a few parts in ten thousand.
+# Records are kept this many seconds longer than ``ttl``: an entry derives a binding's
+# age from its own clock, which may run faster than the sidecar's by a few parts in ten
+# thousand.
 KEEP_MARGIN_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class Binding:
     """
-    Where alone a stage may run.
+    The one incarnation of an endpoint that may run a stage.
 
-    ``issued_s`` is the time of binding on that incarnation's own clock, in
-    seconds: hosts' clocks are never compared.
+    ``issued_s`` is the time of binding on that incarnation's own clock, in seconds;
+    clocks of different hosts are never compared.
     """
 
     stage: str
@@ -46,31 +47,37 @@
 
 class CallTerms(Protocol):
     """
-    Under which terms a call may start; the inner protocol's message has them.
+    The conditions under which a call may start, as sent by the entry.
 
-    ``permit`` is the number of times that the call had been withdrawn when its
-    request came in; ``fingerprint`` stands for the caller's input.
+    A call may start only if its ``permit`` is not lower than the number of times that
+    the call has been withdrawn.
     """
 
     @property
     def incarnation(self) -> int:
-        """The one incarnation that may run the call."""
+        """The incarnation that the call is bound to."""
 
     @property
     def issued_s(self) -> float:
-        """When the call was bound, on that incarnation's clock, in seconds."""
+        """The time of binding on that incarnation's clock, in seconds."""
 
     @property
     def permit(self) -> int:
-        """Withdrawals that the sender knew of."""
+        """The number of withdrawals that the sender knew of."""
 
     @property
     def fingerprint(self) -> str:
-        """Digest of the caller's input."""
+        """The digest of the caller's input."""
 
 
 class CallVerdict(Enum):
-    """What a ledger says of a call."""
+    """
+    The result of checking a call against a ledger.
+
+    ``FRESH`` calls may start, and ``KNOWN`` ones are on record. In a ``CONFLICT`` the
+    recorded call has another input. ``EXPIRED`` bindings are too old to be accepted.
+    ``WITHDRAWN`` calls will never start; with ``FULL`` there is no space for a record.
+    """
 
     FRESH = "fresh"
     KNOWN = "known"
@@ -82,7 +89,7 @@
 
 
 class CallState(Enum):
-    """How far a recorded call has come."""
+    """The progress of a recorded call."""
 
     QUEUED = "queued"
     STARTED = "started"
@@ -97,18 +104,18 @@
 
 
 @dataclass(slots=True)
-class _Seal:
+class _Withdrawal:
     permit: int
-    sealed: float
+    withdrawn: float
 
 
 class CallLedger:
     """
-    One incarnation's calls, bounded by number and by age in seconds.
+    The calls of one incarnation, limited in number and by age in seconds.
 
-    A call is forgotten only once every binding under which it could be sent
-    again is older than ``ttl``, and such bindings are refused: a binding is
-    issued before the call it names is received, both by the same clock.
+    Deleting a record is safe once it is older than ``ttl``: a call is received after
+    its binding was issued, by the same clock, so that every binding under which it
+    could be sent again is older still and is refused as expired.
     """
 
     def __init__(self, incarnation: int, capacity: int, ttl: float) -> None:
@@ -116,47 +123,47 @@
         self._capacity = capacity
         self._ttl = ttl
         self._calls: OrderedDict[str, _Call] = OrderedDict()
-        self._seals: OrderedDict[str, _Seal] = OrderedDict()
+        self._withdrawals: OrderedDict[str, _Withdrawal] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._calls)
 
     def state(self, key: str) -> CallState | None:
-        """Return how far a call has come; ``None`` where none is on record."""
+        """Return the state of a recorded call, else ``None``."""
         call = self._calls.get(key)
         return None if call is None else call.state
 
     @property
     def incarnation(self) -> int:
-        """The incarnation whose calls these are."""
+        """The incarnation that the ledger belongs to."""
         return self._incarnation
 
     @property
     def ttl_s(self) -> float:
-        """How old a binding may be, in seconds."""
+        """Maximum age of a binding, in seconds."""
         return self._ttl
 
     def fingerprint(self, key: str) -> str:
-        """Return a recorded call's digest of its input; raises ``KeyError``."""
+        """Return the input digest of a recorded call; raises ``KeyError``."""
         return self._calls[key].fingerprint
 
     def permit(self, key: str) -> int:
-        """Return the permit under which a call may start now."""
-        seal = self._seals.get(key)
-        return 0 if seal is None else seal.permit
+        """Return the lowest permit under which a call may start now."""
+        withdrawal = self._withdrawals.get(key)
+        return 0 if withdrawal is None else withdrawal.permit
 
-    # Questions
+    # Queries
 
     def check(self, now: float, key: str, terms: CallTerms) -> CallVerdict:
-        """Say whether a call is known, may start, or never will."""
+        """Return whether a call is on record, may start, or will never start."""
         if terms.incarnation != self._incarnation:
             return CallVerdict.OTHER_INCARNATION
         call = self._calls.get(key)
         if call is not None:
             same = call.fingerprint == terms.fingerprint
             return CallVerdict.KNOWN if same else CallVerdict.CONFLICT
-        # Its record may have been dropped: a repeat that comes after that would
-        # run again, and the ages of binding and record are by the same clock.
+        # The call's record may have been deleted by now, so that a repeat would run a
+        # second time. Binding and record are dated by the same clock.
         if now - terms.issued_s > self._ttl:
             return CallVerdict.EXPIRED
         if terms.permit < self.permit(key):
@@ -166,7 +173,7 @@
     # Changes
 
     def open(self, now: float, key: str, terms: CallTerms) -> CallVerdict:
-        """Judge a call and record it where it may start."""
+        """Check a call, and record it if it may start."""
         verdict = self.check(now, key, terms)
         if verdict is not CallVerdict.FRESH:
             return verdict
@@ -178,33 +185,33 @@
 
     def withdraw(self, now: float, key: str, terms: CallTerms) -> CallVerdict:
         """
-        Refuse, from now on, every copy that was sent under an older permit.
+        Refuse all copies of a call that were sent under the current permit or below.
 
-        ``WITHDRAWN`` proves that no call under the key has started. Where a call
-        is queued, the owner takes it out of the queue and calls ``discard``
-        first.
+        ``WITHDRAWN`` proves that no call under the key has started. A queued call must
+        first be removed from the queue and with ``discard``.
         """
         verdict = self.check(now, key, terms)
         if verdict is not CallVerdict.FRESH:
             return verdict
         self._expire(now)
-        # Without its seal a late copy would run after "not run" was answered.
-        if key not in self._seals and len(self._seals) >= self._capacity:
+        # Without a record of the withdrawal, a copy that arrives late would run after
+        # the caller has been told that the call did not run.
+        if key not in self._withdrawals and len(self._withdrawals) >= self._capacity:
             return CallVerdict.FULL
-        self._seals[key] = _Seal(self.permit(key) + 1, now)
-        self._seals.move_to_end(key)
+        self._withdrawals[key] = _Withdrawal(self.permit(key) + 1, now)
+        self._withdrawals.move_to_end(key)
         return CallVerdict.WITHDRAWN
 
     def started(self, key: str) -> None:
-        """Note that a recorded call goes to the endpoint."""
+        """Record that a call has been sent to the endpoint."""
         self._calls[key].state = CallState.STARTED
 
     def ended(self, key: str) -> None:
-        """Note that a recorded call has its result, known or not."""
+        """Record that a call has ended, whether or not its result is known."""
         self._calls[key].state = CallState.ENDED
 
     def discard(self, key: str) -> None:
-        """Forget a call that never reached the endpoint."""
+        """Delete the record of a call that was never sent to the endpoint."""
         self._calls.pop(key, None)
 
     def _expire(self, now: float) -> None:
@@ -213,12 +220,14 @@
         ended = [key for key, call in old_calls if call.state is CallState.ENDED]
         for key in ended:
             del self._calls[key]
-        old_seals = takewhile(lambda kv: kv[1].sealed < oldest, self._seals.items())
-        for key in [key for key, _ in old_seals]:
-            del self._seals[key]
+        old_withdrawals = takewhile(
+            lambda kv: kv[1].withdrawn < oldest, self._withdrawals.items()
+        )
+        for key in [key for key, _ in old_withdrawals]:
+            del self._withdrawals[key]
 
 
-# Choice of an endpoint
+# Binding
 
 
 def rank_binding_candidates(
@@ -229,21 +238,22 @@
     turn: int,
 ) -> list[Endpoint]:
     """
-    Return a pool's endpoints that may be bound to, best first.
+    Return a pool's endpoints that calls may be bound to, best first.
 
-    Near ones first, then the least loaded; ``turn`` spreads equal ones.
+    Endpoints in ``region`` come first, then those with the least backlog. ``turn``
+    rotates the order of equal ones, to spread the calls over them.
     """
-    able = [
+    usable = [
         endpoint
         for endpoint in sorted(endpoints, key=lambda e: e.id)
         if endpoint.pool == pool
         and endpoint.takes_calls
         and not (endpoint.id in loads and loads[endpoint.id].leaving)
     ]
-    if not able:
+    if not usable:
         return []
-    first = turn % len(able)
-    rotated = able[first:] + able[:first]
+    first = turn % len(usable)
+    rotated = usable[first:] + usable[:first]
 
     def cost(endpoint: Endpoint) -> tuple[bool, float]:
         load = loads.get(endpoint.id)
--- a/packages/policy/src/amaranthtally/policy/budgets.py
+++ b/packages/policy/src/amaranthtally/policy/budgets.py
@@ -1,4 +1,4 @@
-"""Token buckets: rate limits of accounts, budgets of retries and hedges."""
+"""Token buckets for rate limits of accounts and for budgets of retries and hedges."""
 
 from amaranthtally.policy.invariants import ensure
 
@@ -8,7 +8,11 @@
 
 
 class RateLimit:
-    """A token bucket that fills with time: ``rate`` tokens a second up to ``burst``."""
+    """
+    A token bucket that gains ``rate`` tokens a second and holds at most ``burst``.
+
+    A burst of 0 stands for one second's tokens; at least one token always fits.
+    """
 
     __slots__ = ("_at", "_burst", "_rate", "_tokens")
 
@@ -19,33 +23,33 @@
         self._at = now
 
     def configure(self, rate: float, burst: float) -> None:
-        """Use other limits from now on; tokens held stay within the burst."""
+        """Change the limits; tokens above the new burst are lost."""
         self._rate = rate
         self._burst = max(1.0, burst or rate)
         self._tokens = min(self._tokens, self._burst)
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until a token is there; 0 when one is there now."""
+        """Return the seconds until a token is available, 0 if one is now."""
         elapsed = max(0.0, now - self._at)
         self._at = max(self._at, now)
         self._tokens = min(self._burst, self._tokens + elapsed * self._rate)
         return max(0.0, (1.0 - self._tokens - EPSILON) / self._rate)
 
     def take(self) -> None:
-        """Take a token that ``wait_s`` said is there."""
+        """Take a token; ``wait_s`` must have returned 0."""
         self._tokens -= 1.0
         ensure(self._tokens >= -EPSILON * 2, "rate limit overdrawn")
 
 
 class RatioBudget:
     """
-    Tokens earned by first attempts and spent on extra ones.
+    A token bucket that first attempts fill and extra attempts drain.
 
-    Extra attempts stay under ``ratio`` of first ones plus ``reserve``, however
-    many fail. When every attempt of a pool fails, retries without such a budget
-    multiply the load just when there is the least capacity, and the pool stays
-    down after its cause has gone. The reserve covers the failures that pass
-    before an endpoint is ejected.
+    Each first attempt adds ``ratio`` tokens, up to ``reserve``. Extra attempts are thus
+    bounded by ``ratio`` times the first ones plus ``reserve``, however many fail.
+    Without such a budget, retries multiply the load of a pool whose attempts all fail
+    and keep it overloaded after the cause has been removed. The reserve covers the
+    failures that occur before a faulty endpoint is ejected.
     """
 
     __slots__ = ("_ratio", "_reserve", "_tokens")
@@ -57,21 +61,21 @@
 
     @property
     def tokens(self) -> float:
-        """Tokens left."""
+        """Tokens available."""
         return self._tokens
 
     def configure(self, ratio: float, reserve: float) -> None:
-        """Earn at another ratio from now on; tokens held stay within the reserve."""
+        """Change the ratio and reserve; tokens above the new reserve are lost."""
         self._ratio = ratio
         self._reserve = reserve
         self._tokens = min(self._tokens, reserve)
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
     def take(self, cost: float = 1.0) -> bool:
-        """Spend tokens; false, and nothing spent, when there are too few."""
+        """Take ``cost`` tokens; false, with none taken, if there are too few."""
         if self._ratio <= 0 or self._tokens < cost:
             return False
         self._tokens -= cost
--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts: first ones, retries, hedges and probes."""
+"""Sends the attempts of requests: first attempts, retries, hedges and probes."""
 
 from amaranthtally.policy.actions import Action, Send
 from amaranthtally.policy.budgets import RatioBudget
@@ -17,18 +17,28 @@
 
 __all__ = ["Dispatcher"]
 
+# Weight of a hedge's price against the probability of being late that it removes.
 HEDGE_COST = 0.1
+# Probability assumed for an attempt beyond the 99th percentile of run times to be late,
+# since its endpoint may have become slow.
 SLOW_ENDPOINT_PROBABILITY = 0.5
+# That probability is used when less time is left than this many 90th percentiles of run
+# times: a hedge sent later would itself end late.
 LAST_HEDGE_RUNS = 2.0
+# A request probes an ejected endpoint only if it has this many times the time it needs.
 PROBE_SLACK = 3.0
+# Maximum age of a load report for a probe with a stage that must not be repeated.
 RECENT_REPORT_S = 5.0
+# A slow attempt is checked again after this share of the time since it was sent, but
+# not before ``MIN_RECHECK_S``.
 RECHECK_SHARE = 0.5
 MIN_RECHECK_S = 0.02
+# A stream is first checked when this many chunks should have come.
 CHUNKS_BEFORE_CHECK = 3.0
 
 
 class _PoolBudgets:
-    """Budgets of one pool: the failures of one must not spend those of another."""
+    """Budgets by pool, so that failures in one pool don't use up those of another."""
 
     __slots__ = ("hedges", "retries")
 
@@ -42,7 +52,7 @@
 
 
 class Dispatcher:
-    """Turns a request's need for an attempt into a ``Send``, or into nothing."""
+    """Chooses endpoints for attempts, within the budgets of retries and hedges."""
 
     def __init__(
         self,
@@ -68,26 +78,26 @@
         self._budgets: dict[str, _PoolBudgets] = {}
 
     def configure(self, settings: PolicySettings) -> None:
-        """Use other settings."""
+        """Apply new settings."""
         self._settings = settings
         for budgets in self._budgets.values():
             budgets.configure(settings)
 
     def send_first(self, now: float, request: Request) -> list[Action]:
-        """Send a stage's first attempt; nothing when no endpoint takes work."""
+        """Send a stage's first attempt; nothing if no endpoint is available."""
         budgets = self._budgets_of(request.current_stage)
         budgets.retries.earn()
         budgets.hedges.earn()
-        probed = None if request.bound_to else self._choose_probe(now, request)
-        if probed is not None:
-            return self._send_probe(now, request, probed)
+        endpoint = None if request.bound_to else self._choose_probe(now, request)
+        if endpoint is not None:
+            return self._send_probe(now, request, endpoint)
         return self._route(now, request, frozenset())
 
     def retry(self, now: float, request: Request, cost: float) -> list[Action]:
         """
-        Send a stage again, elsewhere where there is an elsewhere.
+        Send a stage again, preferably to an endpoint at which it has not failed.
 
-        Returns nothing when the budget is spent or no endpoint takes work.
+        Returns nothing if the budget is exhausted or no endpoint is available.
         """
         if cost > 0:
             if not self._budgets_of(request.current_stage).retries.take(cost):
@@ -101,10 +111,10 @@
 
     def hedge(self, now: float, request: Request, slow: AttemptId) -> list[Action]:
         """
-        Send a second attempt beside a slow one where that is worth its cost.
+        Send a second attempt while a slow one is running, if it is worth its cost.
 
-        Only a stage that may be repeated is hedged, and only one attempt at a
-        time. Otherwise a timer looks again.
+        Only repeatable stages are hedged, with at most two concurrent attempts. If no
+        hedge is sent, a timer is set to check the slow attempt again.
         """
         attempt = request.live[slow]
         if not request.current_stage.repeatable or len(request.live) > 1:
@@ -113,12 +123,12 @@
             return []
         stats = self._times.of(request.current_stage)
         if request.current_stage.streams:
-            self._streams.note_quiet(now, attempt, stats)
-        # Where work waits, a hedge only makes it wait longer.
-        crowded = (
+            self._streams.add_overdue(now, attempt, stats)
+        # A hedge would only lengthen the queues if work is already waiting.
+        has_queue = (
             self._loads.pool(request.current_stage.pool).wait_s(now, stats.mean_s) > 0
         )
-        if not crowded:
+        if not has_queue:
             actions = self._hedge_if_worth_it(now, request, attempt, stats)
             if actions:
                 return actions
@@ -126,7 +136,7 @@
         return []
 
     def _first_check_delay_s(self, stage: Stage, choice: Choice) -> float:
-        """Return after how much of its run an attempt is first looked at."""
+        """Return the run time after which an attempt is first checked."""
         stats = self._times.of(stage)
         chunk_s = stats.chunk_time_s(choice.concurrent) if stage.streams else 0.0
         return (
@@ -136,7 +146,7 @@
     def _next_check_at(
         self, now: float, attempt: LiveAttempt, stats: StageStats
     ) -> float:
-        # A stream's next chunk, or its lack, tells more.
+        # For a stream, check again when its next chunk should have come.
         chunk_s = stats.chunk_time_s(attempt.concurrent)
         again_s = chunk_s or RECHECK_SHARE * (now - attempt.sent_at)
         return now + max(MIN_RECHECK_S, again_s)
@@ -145,49 +155,53 @@
         self, now: float, request: Request, attempt: LiveAttempt, stats: StageStats
     ) -> list[Action]:
         hedges = self._budgets_of(request.current_stage).hedges
-        wanted = self._route_request(
+        route_request = self._route_request(
             now, request, request.excluded | {attempt.endpoint}
         )
-        risk = self._late_probability(now, request, attempt, wanted, stats)
-        # Choosing costs most: it is left out where nothing can come of it.
-        if hedges.tokens < 1 or wanted.weight * risk <= 0:
+        risk = self._late_probability(now, request, attempt, route_request, stats)
+        # Choosing an endpoint is expensive: skip it if no hedge would be sent anyway.
+        if hedges.tokens < 1 or route_request.weight * risk <= 0:
             return []
-        choice = self._router.choose(now, wanted, stats)
+        choice = self._router.choose(now, route_request, stats)
         if choice is None:
             return []
-        gain = risk - self._streams.resumed_risk(
-            now, request, choice, wanted.target_end
+        gain = risk - self._streams.resumed_late_probability(
+            now, request, choice, route_request.target_end
         )
-        if not _is_worth_it(gain, choice, wanted.weight) or not hedges.take():
+        if not _is_worth_it(gain, choice, route_request.weight) or not hedges.take():
             return []
         self._ledger.counters.hedges += 1
-        return self._send(now, request, wanted, choice, hedge=True)
+        return self._send(now, request, route_request, choice, hedge=True)
 
     # Choices
 
     def _route(
-        self, now: float, request: Request, avoid: frozenset[str]
+        self, now: float, request: Request, excluded: frozenset[str]
     ) -> list[Action]:
-        wanted = self._route_request(now, request, avoid)
+        route_request = self._route_request(now, request, excluded)
         stats = self._times.of(request.current_stage)
         if request.bound_to:
-            return self._send_bound(now, request, wanted, stats)
-        choice = self._router.choose(now, wanted, stats)
-        return [] if choice is None else self._send(now, request, wanted, choice)
+            return self._send_bound(now, request, route_request, stats)
+        choice = self._router.choose(now, route_request, stats)
+        return [] if choice is None else self._send(now, request, route_request, choice)
 
     def _send_bound(
-        self, now: float, request: Request, wanted: RouteRequest, stats: StageStats
+        self,
+        now: float,
+        request: Request,
+        route_request: RouteRequest,
+        stats: StageStats,
     ) -> list[Action]:
-        # Also where it leaves or was ejected: no other endpoint may run the stage,
-        # and this one may hold the result of an earlier try.
+        # Also if the endpoint is leaving or ejected: no other one may run the stage,
+        # and this one may have the result of an earlier attempt.
         endpoint = self._groups.find(request.bound_to)
         if endpoint is None:
             return []
-        choice = self._router.predict(now, wanted, stats, endpoint)
-        return self._send(now, request, wanted, choice)
+        choice = self._router.predict(now, route_request, stats, endpoint)
+        return self._send(now, request, route_request, choice)
 
     def _route_request(
-        self, now: float, request: Request, avoid: frozenset[str]
+        self, now: float, request: Request, excluded: frozenset[str]
     ) -> RouteRequest:
         arrival = request.arrival
         remaining = request.remaining
@@ -198,17 +212,18 @@
             arrival.pipeline.weight_attainment,
             arrival.input_bytes + request.previous_bytes,
             arrival.prefix if request.current_stage.caches_prefixes else (),
-            avoid,
+            excluded,
             arrival.prefix_sizes,
             request.inputs,
         )
 
     def _choose_probe(self, now: float, request: Request) -> Endpoint | None:
         """
-        Return an ejected endpoint to try, when the request can afford a failure.
+        Return an ejected endpoint to probe, if the request has time for a failure.
 
-        A stage that may not be repeated is only tried where the sidecar has been
-        heard again: its caller would pay for the probe with an unknown outcome.
+        A stage that must not be repeated is used for a probe only if the sidecar has
+        reported recently: otherwise the probe might end with an unknown outcome for the
+        caller.
         """
         stage = request.current_stage
         name = self._ejections.next_probe(now, stage.pool)
@@ -230,33 +245,35 @@
     def _send_probe(
         self, now: float, request: Request, endpoint: Endpoint
     ) -> list[Action]:
-        wanted = self._route_request(now, request, frozenset())
+        route_request = self._route_request(now, request, frozenset())
         stats = self._times.of(request.current_stage)
-        choice = self._router.predict(now, wanted, stats, endpoint)
-        return self._send(now, request, wanted, choice, probe=True)
+        choice = self._router.predict(now, route_request, stats, endpoint)
+        return self._send(now, request, route_request, choice, probe=True)
 
     def _late_probability(
         self,
         now: float,
         request: Request,
         attempt: LiveAttempt,
-        wanted: RouteRequest,
+        route_request: RouteRequest,
         stats: StageStats,
     ) -> float:
-        """Return the probability that an attempt ends late, given how long it ran."""
+        """Return the probability that an attempt ends late, given its age."""
         if request.current_stage.streams and stats.chunk_time_s(attempt.concurrent) > 0:
-            return self._streams.risk(now, attempt, wanted.target_end, stats)
+            return self._streams.late_probability(
+                now, attempt, route_request.target_end, stats
+            )
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
-        so_long = stats.tail(ran)
-        # Longer than nearly any run on record: the endpoint is taken to be stuck.
+        longer_share = stats.tail(ran)
+        # Far longer than nearly all runs: the endpoint is assumed to hang.
         if stats.known and ran > STUCK_FACTOR * stats.p99_s:
             return 1.0
-        left = max(0.0, wanted.target_end - now)
-        healthy = stats.tail(ran + left) / so_long if so_long else 0.0
-        # Beyond the slow quantile it is as likely an endpoint that has become slow
-        # as a long run, and soon another attempt would come too late.
-        last_call = ran > stats.p99_s and left < LAST_HEDGE_RUNS * stats.p90_s
-        return max(healthy, SLOW_ENDPOINT_PROBABILITY) if last_call else healthy
+        left = max(0.0, route_request.target_end - now)
+        late_share = stats.tail(ran + left) / longer_share if longer_share else 0.0
+        # Beyond the 99th percentile, the endpoint is as likely to have become slow as
+        # the run is to be a long one, and soon it will be too late for a hedge.
+        last_hedge = ran > stats.p99_s and left < LAST_HEDGE_RUNS * stats.p90_s
+        return max(late_share, SLOW_ENDPOINT_PROBABILITY) if last_hedge else late_share
 
     # Sending
 
@@ -264,7 +281,7 @@
         self,
         now: float,
         request: Request,
-        wanted: RouteRequest,
+        route_request: RouteRequest,
         choice: Choice,
         hedge: bool = False,
         probe: bool = False,
@@ -282,7 +299,7 @@
             stream=StreamProgress(request.chunks),
         )
         attempt.pending_prefill_tokens = round(
-            sum(wanted.prefix_sizes) * (1.0 - choice.cached_share)
+            sum(route_request.prefix_sizes) * (1.0 - choice.cached_share)
         )
         attempt_id = self._ledger.add_attempt(request, load, attempt)
         if probe:
@@ -291,39 +308,42 @@
         if choice.endpoint.region != self._settings.region:
             self._ledger.counters.cross_region += 1
         if request.current_stage.repeatable:
-            look = choice.delay_s + self._first_check_delay_s(
+            check_after_s = choice.delay_s + self._first_check_delay_s(
                 request.current_stage, choice
             )
-            self._timers.set(now + look, request.id, attempt_id)
+            self._timers.set(now + check_after_s, request.id, attempt_id)
         return [
             Send(
                 attempt_id,
                 choice.endpoint.id,
-                _attempt_deadline(request, wanted),
+                _attempt_deadline(request, route_request),
                 hedge=hedge,
                 resume_offset=request.chunks,
             )
         ]
 
     def _budgets_of(self, stage: Stage) -> _PoolBudgets:
-        found = self._budgets.get(stage.pool)
-        if found is None:
-            found = self._budgets[stage.pool] = _PoolBudgets(self._settings)
-        return found
+        budgets = self._budgets.get(stage.pool)
+        if budgets is None:
+            budgets = self._budgets[stage.pool] = _PoolBudgets(self._settings)
+        return budgets
 
 
 def _is_worth_it(gain: float, choice: Choice, weight: float) -> bool:
     return weight * gain > (1.0 - weight) * HEDGE_COST * choice.price
 
 
-def _attempt_deadline(request: Request, wanted: RouteRequest) -> float:
+def _attempt_deadline(request: Request, route_request: RouteRequest) -> float:
     """
-    Return when the stage must have ended, in time for the later ones.
+    Return the time stamp by which the stage must end for the later ones to fit.
 
-    Never less than its share of what is left: when the later stages'
-    medians no longer fit, they may still be faster than that.
+    It is never before the end of the stage's share of the time left: if the later
+    stages' median run times no longer fit, they may still run faster than that.
     """
-    return min(request.arrival.deadline, max(wanted.latest_end, wanted.target_end))
+    return min(
+        request.arrival.deadline,
+        max(route_request.latest_end, route_request.target_end),
+    )
 
 
 def _may_run(endpoint: Endpoint, stage: Stage) -> bool:
--- a/packages/policy/src/amaranthtally/policy/events.py
+++ b/packages/policy/src/amaranthtally/policy/events.py
@@ -1,4 +1,4 @@
-"""Events that the policy takes."""
+"""Events that the policy handles."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -20,10 +20,10 @@
 @dataclass(frozen=True, slots=True)
 class PieceWork:
     """
-    Pieces to be made before a request's first stage.
+    Pieces to be computed before a request's first stage.
 
-    ``counts`` holds the pieces of each stage of the graph, ``key`` names their common
-    input.
+    ``counts`` holds the number of pieces of each stage of the graph. ``key`` names the
+    input of the pieces that read no results.
     """
 
     stages: tuple[PieceStage, ...]
@@ -39,10 +39,10 @@
     ``pipeline`` is resolved from the settings in force on arrival and stays with the
     request to its end. ``bound`` maps the index of a stage that must not be repeated to
     the only endpoint that may run it. An answer after ``objective`` is late; 0 stands
-    for the deadline. ``prefix`` holds the hashes of the prompt's parts, and
-    ``prefix_sizes`` their tokens where they differ in size. ``piece_work`` is computed
-    before the first stage. At ``caller_timeout_at`` the caller disconnects if a stream
-    has not begun; with 0 it waits until the deadline.
+    for the deadline. ``prefix`` identifies the parts of the prompt, and
+    ``prefix_sizes`` holds their tokens where they differ in size. ``piece_work`` is
+    computed before the first stage. At ``caller_timeout_at`` the caller disconnects if
+    a stream has not begun; with 0 it waits until the deadline.
     """
 
     request_id: str
@@ -62,11 +62,11 @@
     @property
     def latest_start(self) -> float:
         """
-        The time stamp after which its answer can't begin any more.
+        The time stamp by which the answer must begin.
 
-        The failure: callers whose deadline is 20 s leave after 9 without an event. In a
-        burst the least urgent waited so long, and a twentieth of all stage work was
-        done for callers that had gone.
+        Callers may disconnect before their deadline: with a deadline of 20 s they left
+        after 9 s without an event. In a burst the least urgent requests waited for
+        longer than that, and 5 % of all stage work was done for callers that had left.
         """
         return min(self.deadline, self.caller_timeout_at or self.deadline)
 
@@ -109,11 +109,11 @@
 @dataclass(frozen=True, slots=True)
 class LoadReport:
     """
-    An endpoint's load as its sidecar tells it; times in seconds.
+    An endpoint's load as reported by its sidecar; times in seconds.
 
-    ``models`` are those that it answers now; ``None`` where it answers any.
-    ``ended`` counts attempts of this entry that had ended at the endpoint when the
-    report was made, while the planner has yet to be told: the one it came with.
+    ``models`` are those that it serves now; ``None`` stands for any model. ``ended``
+    counts this entry's attempts that the report no longer contains although the planner
+    has not yet processed their end, such as the one whose reply carried the report.
     """
 
     incarnation: int
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """Prefix blocks that an endpoint stored and removed; ``serial`` has no gaps."""
+    """Prefix blocks that an endpoint stored and removed; serials are consecutive."""
 
     serial: int
     stored: tuple[int, ...] = ()
--- a/packages/policy/src/amaranthtally/policy/first_event_times.py
+++ b/packages/policy/src/amaranthtally/policy/first_event_times.py
@@ -1,32 +1,32 @@
-"""What engines take to the first event of a stream, as observed."""
+"""Learns how long engines take until the first event of a stream."""
 
 __all__ = ["FirstEventTimes"]
 
-# Seconds to a first event until one was observed.
+# Time to the first event in seconds, until one has been observed.
 DEFAULT_S = 0.25
-# How much the newest sample counts; the last three dozen make up most of the mean.
+# Weight of a new sample. The last three dozen samples make up most of the mean.
 WEIGHT = 0.05
-# Samples beyond this, in seconds, count as this much: an engine that hangs says nothing
-# of what engines take.
+# Longer times count as this many seconds: how long an engine hangs says nothing about
+# the usual time.
 LONGEST_S = 3.0
-# Pipelines whose times are kept; the one not observed for longest is forgotten.
-MOST_PIPELINES = 1_024
+# Maximum number of pipelines; the one not observed for longest is forgotten.
+MAX_PIPELINES = 1_024
 
 
 class FirstEventTimes:
-    """Learns times from an attempt's sending to its first event, by pipeline."""
+    """Smoothed times from sending an attempt to its first event, by pipeline."""
 
     def __init__(self) -> None:
         self._means_s: dict[str, float] = {}
 
-    def note(self, pipeline: str, took_s: float) -> None:
-        """Learn from the first event of an attempt."""
+    def add(self, pipeline: str, took_s: float) -> None:
+        """Add the time to the first event of an attempt."""
         took_s = min(LONGEST_S, max(0.0, took_s))
         mean_s = self._means_s.pop(pipeline, DEFAULT_S)
         self._means_s[pipeline] = mean_s + WEIGHT * (took_s - mean_s)
-        if len(self._means_s) > MOST_PIPELINES:
+        if len(self._means_s) > MAX_PIPELINES:
             del self._means_s[next(iter(self._means_s))]
 
-    def usual_s(self, pipeline: str) -> float:
-        """Return the usual time to a pipeline's first event, in seconds."""
+    def mean_s(self, pipeline: str) -> float:
+        """Return the smoothed time to a pipeline's first event, in seconds."""
         return self._means_s.get(pipeline, DEFAULT_S)
--- a/packages/policy/src/amaranthtally/policy/gateway_policy.py
+++ b/packages/policy/src/amaranthtally/policy/gateway_policy.py
@@ -1,4 +1,4 @@
-"""What a gateway's planner is made of, and what it is told of routes' requests."""
+"""Configures a gateway's planner, and turns routes' requests into arrivals."""
 
 from dataclasses import replace
 
@@ -18,24 +18,25 @@
 ]
 
 GATEWAY_COMPONENTS = PlannerComponents(router=AffinityRouter)
-# Pieces linger for a few of these, in seconds; each tick costs processor time.
+# Interval between the planner's ticks, in seconds. Batches of pieces wait for a few
+# ticks to fill, which calls for a short one; each tick costs processor time.
 GATEWAY_TICK_S = 0.006
-# An answer that leaves when the caller's time is over comes too late to be heard: it
-# leaves by this much earlier, in seconds, twice the way to a caller and some work.
+# An answer sent at the caller's deadline would arrive after it. Answers are due this
+# many seconds before it: twice the network latency to a caller, and some processing.
 RESPONSE_MARGIN_S = 0.04
-# Second attempts beside slow ones, as a ratio of first ones, out of the budget of
-# retries.
+# The budget of hedges, a part of that of retries: their ratio to first attempts, and
+# the reserve beyond the ratio.
 HEDGE_RATIO = 0.04
 HEDGE_RESERVE = 1.0
-# A request that may be repeated is hedged; a stream never: two engines would read
-# one prompt, and the callers pay for what is read in vain.
+# Requests that may be repeated are hedged. Streams never are: two engines would process
+# the same prompt, and the callers pay for the processing that is not used.
 HEDGED_KINDS = frozenset({CallKind.IDEMPOTENT})
-# How much of the objective weighs against price where a plain endpoint is chosen.
+# ``weight_attainment`` of the pipelines of all routes.
 WEIGHT_ATTAINMENT = 0.9
 
 
 def gateway_settings(settings: PolicySettings) -> PolicySettings:
-    """Return settings with what is the same at all gateways."""
+    """Return settings with the values that are the same at all gateways."""
     return replace(
         settings,
         hedge_budget=HEDGE_RATIO,
@@ -46,7 +47,7 @@
 
 
 def route_pipeline(route: Route, pool: str) -> Pipeline:
-    """Return the one stage of a route's requests that go to a pool."""
+    """Return the pipeline, of one stage, for a route's requests that go to a pool."""
     stage = Stage(
         name=route.name,
         pool=pool,
@@ -73,10 +74,10 @@
     piece_work: PieceWork | None,
 ) -> Arrival:
     """
-    Return a route's request that arrives at ``now``.
+    Return the arrival of a route's request at ``now``.
 
-    ``deadline`` is the time stamp by which its answer leaves; ``pipeline`` is one of
-    the route's own.
+    ``deadline`` is the time stamp by which the answer must be sent; ``pipeline`` is one
+    that ``route_pipeline`` returned for the route.
     """
     objective_at = now + route.objective_s if route.objective_s else deadline
     return Arrival(
--- a/packages/policy/src/amaranthtally/policy/handover.py
+++ b/packages/policy/src/amaranthtally/policy/handover.py
@@ -1,7 +1,8 @@
 """
-Records that a sidecar hands to its peers as it stops.
+Transfer of a stopping sidecar's call records to other sidecars of its pool.
 
-A stop that took the records along would turn every repeat into ``unknown``.
+Without it, every repeat of a call that the stopped incarnation had run would be
+answered with ``unknown``.
 """
 
 from collections.abc import Iterable
@@ -16,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOverCall:
-    """A call that ended, with its result; ``status`` as in the inner protocol."""
+    """The record of an ended call; ``status`` is a value of the wire protocol."""
 
     key: str
     fingerprint: str
@@ -28,11 +29,11 @@
 @dataclass(frozen=True, slots=True)
 class Handover:
     """
-    Every call on record of an endpoint's incarnation that takes none any more.
+    All recorded calls of an incarnation that accepts no new ones.
 
-    ``clock_s`` is its own clock as it stopped, ``ttl_s`` how old a binding it
-    would have taken, both in seconds. Where it is not ``final``, calls that run
-    may still end, and a final one takes its place.
+    ``clock_s`` is the incarnation's own clock at the time of the handover and ``ttl_s``
+    the maximum age of its bindings, both in seconds. A handover that is not ``final``
+    is sent while calls are still running and is replaced by the final one.
     """
 
     endpoint: str
@@ -44,89 +45,91 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
+class _StoredHandover:
     handover: Handover
-    taken: float
+    received_at: float
     calls: dict[str, HandedOverCall]
 
 
 class ReceivedHandovers:
-    """The records of stopped incarnations, bounded by number of calls and by age."""
+    """The records of stopped incarnations, limited by number of calls and by age."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._kept: dict[int, _Kept] = {}
+        self._stored: dict[int, _StoredHandover] = {}
 
     def __len__(self) -> int:
-        return sum(len(kept.calls) for kept in self._kept.values())
+        return sum(len(stored.calls) for stored in self._stored.values())
 
-    def take(self, now: float, handover: Handover) -> bool:
-        """Keep a handover; false where there is no room for all of it."""
+    def accept(self, now: float, handover: Handover) -> bool:
+        """Store a handover; false, with nothing stored, if it exceeds the capacity."""
         self._expire(now)
-        known = self._kept.get(handover.incarnation)
-        # An early one that comes late, from a peer that stops in turn, must not
-        # take the results of the final one away again.
-        if known is not None and (known.handover.final or not handover.final):
+        previous = self._stored.get(handover.incarnation)
+        # A stopping peer passes on what it has stored, so that a preliminary handover
+        # may arrive after the final one. It must not replace the final one's results.
+        if previous is not None and (previous.handover.final or not handover.final):
             return True
-        replaced = len(known.calls) if known is not None else 0
-        # Half of one would have the missing half pass for calls that never ran.
+        replaced = len(previous.calls) if previous is not None else 0
+        # A handover is stored completely or not at all: calls that are missing from it
+        # would be reported as never run.
         if len(self) - replaced + len(handover.calls) > self._capacity:
             return False
         calls = {call.key: call for call in handover.calls}
-        self._kept[handover.incarnation] = _Kept(handover, now, calls)
+        self._stored[handover.incarnation] = _StoredHandover(handover, now, calls)
         return True
 
     def check(self, now: float, key: str, terms: CallTerms) -> CallVerdict:
         """
-        Say what became of a call that was bound to a stopped incarnation.
+        Check a call that was bound to a stopped incarnation.
 
-        ``WITHDRAWN``: it never started there, and no copy of it ever will.
+        ``WITHDRAWN`` means that it did not start there and that no copy of it will.
         """
-        kept = self._kept.get(terms.incarnation)
-        if kept is None:
+        stored = self._stored.get(terms.incarnation)
+        if stored is None:
             return CallVerdict.OTHER_INCARNATION
-        call = kept.calls.get(key)
+        call = stored.calls.get(key)
         if call is not None:
             same = call.fingerprint == terms.fingerprint
             return CallVerdict.KNOWN if same else CallVerdict.CONFLICT
-        clock = kept.handover.clock_s + now - kept.taken
-        if clock - terms.issued_s > kept.handover.ttl_s:
+        clock = stored.handover.clock_s + now - stored.received_at
+        if clock - terms.issued_s > stored.handover.ttl_s:
             return CallVerdict.EXPIRED
         return CallVerdict.WITHDRAWN
 
     def call(self, incarnation: int, key: str) -> HandedOverCall:
-        """Return a call that ``check`` knows; raises ``KeyError``."""
-        return self._kept[incarnation].calls[key]
+        """Return the record of a call that is ``KNOWN``; raises ``KeyError``."""
+        return self._stored[incarnation].calls[key]
 
     def export(self, now: float) -> list[Handover]:
-        """Return what is kept, for a peer to keep in turn."""
+        """Return the stored handovers with their clocks advanced to ``now``."""
         self._expire(now)
         return [
-            replace(kept.handover, clock_s=kept.handover.clock_s + now - kept.taken)
-            for kept in self._kept.values()
+            replace(
+                stored.handover,
+                clock_s=stored.handover.clock_s + now - stored.received_at,
+            )
+            for stored in self._stored.values()
         ]
 
     def _expire(self, now: float) -> None:
-        for incarnation, kept in list(self._kept.items()):
-            if now - kept.taken > kept.handover.ttl_s + KEEP_MARGIN_S:
-                del self._kept[incarnation]
+        for incarnation, stored in list(self._stored.items()):
+            if now - stored.received_at > stored.handover.ttl_s + KEEP_MARGIN_S:
+                del self._stored[incarnation]
 
 
 def rank_successors(
     incarnation: int, endpoint: str, endpoints: Iterable[Endpoint]
 ) -> list[Endpoint]:
     """
-    Return an endpoint's pool, those who take its records first.
+    Return an endpoint's pool in the order in which its members are offered the records.
 
-    It is one of them itself: started anew, it can take its records back from a
-    peer that stops in turn.
-
-    The order follows from the incarnation alone, so that an entry finds the
-    records without anything written to the platform.
+    The order depends only on the incarnation that stops, so that entries can find the
+    records without any location being written to the platform. ``endpoint`` itself is
+    included: after a restart it can receive its records back from a peer that stops.
     """
-    known = {found.id: found for found in endpoints}
-    pool = known[endpoint].pool if endpoint in known else ""
-    members = [e for e in known.values() if e.pool == pool]
+    by_id = {listed.id: listed for listed in endpoints}
+    pool = by_id[endpoint].pool if endpoint in by_id else ""
+    members = [e for e in by_id.values() if e.pool == pool]
     return sorted(
         members, key=lambda e: sha256(f"{incarnation}/{e.id}".encode()).digest()
     )
--- a/packages/policy/src/amaranthtally/policy/invariants.py
+++ b/packages/policy/src/amaranthtally/policy/invariants.py
@@ -1,10 +1,10 @@
-"""Invariants that the policy asserts about itself, always on."""
+"""Run-time checks of the policy's invariants; they are always enabled."""
 
 __all__ = ["InvariantError", "ensure"]
 
 
 class InvariantError(Exception):
-    """The policy broke one of its own rules: a defect, to be reported with the log."""
+    """A defect in the policy: one of its invariants does not hold."""
 
     def __init__(self, rule: str) -> None:
         super().__init__(
@@ -14,6 +14,10 @@
 
 
 def ensure(holds: bool, rule: str) -> None:
-    """Raise ``InvariantError`` unless a rule holds; ``assert`` can be switched off."""
+    """
+    Raise ``InvariantError`` unless a rule holds.
+
+    Used in place of ``assert``, which ``python -O`` removes.
+    """
     if not holds:
         raise InvariantError(rule)
--- a/packages/policy/src/amaranthtally/policy/model.py
+++ b/packages/policy/src/amaranthtally/policy/model.py
@@ -1,4 +1,4 @@
-"""What the policy knows of pipelines, endpoints and client accounts."""
+"""The policy's model of pipelines, endpoints, client accounts and its settings."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -15,18 +15,18 @@
     "Stage",
 ]
 
-# Attempts of one entry and pool that failures may take beyond the ratio: what fails
-# before an endpoint is ejected, three strikes at each of some twenty endpoints.
+# Retries that one entry may make in a pool beyond the ratio. They cover the failures
+# that occur before endpoints are ejected: three at each of some twenty endpoints.
 RETRY_RESERVE = 64.0
-# Second attempts beside slow ones that may run at once beyond the ratio.
+# Hedges that one entry may send in a pool beyond the ratio.
 HEDGE_RESERVE = 16.0
-# What a retry takes from the budget after proof that nothing ran: it costs the
-# endpoint a refusal, about a quarter of what a call costs it.
+# Cost of a retry, in attempts, if the attempt before it provably did not run: the
+# refusal cost its endpoint about a quarter of what a call does.
 NOT_RUN_COST = 0.25
 
 
 class AttemptId(NamedTuple):
-    """One attempt at one stage of one request; ``stage`` counts from 0."""
+    """Identifies an attempt at one stage, counted from 0, of one request."""
 
     request_id: str
     stage: int
@@ -39,10 +39,10 @@
     A stage of a pipeline, run by any endpoint of ``pool``.
 
     A stage that is not ``repeatable`` has a side effect and runs at most once.
-    ``price_per_s`` is the price of one second of its endpoint. ``max_attempts`` bounds
-    the endpoints that may have run it for one request, 0 leaves that to the budgets;
-    one that never ``hedges`` has one attempt at a time. ``key`` names what
-    is learned of it: made once, since each decision looks it up many times.
+    ``price_per_s`` is the price of one second of an endpoint. ``max_attempts`` bounds
+    the attempts of one request that may have run; with 0 only the retry budget does.
+    Without ``hedges`` a request has one attempt at a time. ``key`` identifies the
+    stage's statistics; it is computed once because each decision uses it many times.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
     @property
     def caches_prefixes(self) -> bool:
-        """Whether its endpoints may cache prefixes: model engines do."""
+        """Whether its endpoints may cache prompt prefixes, as model engines do."""
         return self.streams or bool(self.model)
 
 
@@ -69,8 +69,8 @@
     """
     Stages that run one after another under one deadline, in seconds.
 
-    ``weight_attainment`` goes from 0, where cost alone counts, to 1, where
-    answers in time alone count.
+    ``weight_attainment`` weighs attainment, the share of answers in time, against
+    cost: with 0 only cost counts, with 1 only attainment.
     """
 
     name: str
@@ -85,18 +85,19 @@
 
     @property
     def caches_prefixes(self) -> bool:
-        """Whether a stage's endpoints may cache prefixes."""
+        """Whether the endpoints of any stage may cache prompt prefixes."""
         return any(stage.caches_prefixes for stage in self.stages)
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
     """
-    An endpoint and where it stands; ``address`` is its sidecar's ``ip:port``.
+    An endpoint and its location; ``address`` is its sidecar's ``ip:port``.
 
-    ``models`` are those it is to answer, ``takes_calls`` whether its role is to.
-    ``slots`` is what it runs at once, 0 where it has not said, and ``incarnation``
-    tells its starts apart where the id alone does not.
+    ``models`` are those that it is configured to serve, all if empty; ``takes_calls``
+    is false for a role that serves no calls. ``slots`` is the number of calls that run
+    concurrently, 0 if unknown. ``incarnation`` changes with each start of a server that
+    keeps its id.
     """
 
     id: str
@@ -111,11 +112,11 @@
     incarnation: int = 0
 
     def is_meant_for(self, model: str) -> bool:
-        """Whether it is to answer a model, loaded or not; an empty one is any."""
+        """Whether it is configured to serve a model, loaded or not; "" is any model."""
         return not model or not self.models or model in self.models
 
     def is_same_server(self, other: "Endpoint") -> bool:
-        """Whether both are one server at one place, whatever it holds."""
+        """Whether both describe the same start of one server, whatever it serves."""
         return (
             self.pool == other.pool
             and self.host == other.host
@@ -128,7 +129,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountLimits:
-    """Limits of a client account: requests a second, burst, and fair-share weight."""
+    """
+    Limits of a client account.
+
+    ``rate`` is in requests a second, 0 for no limit, ``burst`` in requests; ``share``
+    is the account's weight when admission is divided under overload.
+    """
 
     rate: float = 0.0
     burst: float = 0.0
@@ -140,14 +146,13 @@
     """
     The settings that the policy reads, at one revision.
 
-    ``region`` and ``data_centre`` are those of the entry itself; ``entries``
-    counts the entries that share the accounts' limits. Prices are in one
-    currency, latency is one way and in seconds, budgets are ratios to first
-    attempts, and headroom is a share of the deadline. Reserves are attempts that may
-    be made beyond the ratios; ``not_run_cost`` is what a retry takes from its budget
-    after proof that the attempt before it did not start.
-    ``entry`` is the entry's own name; ``pools`` holds the limits of those pools that
-    say them.
+    ``entry`` is the name of the entry itself, and ``region`` and ``data_centre`` are
+    its location. ``entries`` counts the entries that share the accounts' limits. All
+    prices are in one currency; latency is one way and in seconds. Budgets are ratios to
+    first attempts, and reserves are attempts that may be made beyond the ratios.
+    ``not_run_cost`` is the budget cost of a retry if the attempt before it provably did
+    not run. Headroom is a share of the deadline. ``pools`` holds the pools whose limits
+    are configured.
     """
 
     revision: int
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -1,4 +1,4 @@
-"""Decisions of an entry: admission, routing, retries, hedges, answers."""
+"""The decisions of an entry: admission, routing, retries, hedges and answers."""
 
 from collections.abc import Iterable
 from random import Random
@@ -39,22 +39,25 @@
 
 __all__ = ["Planner"]
 
-# How often a request is sent again at most after attempts that failed or did not start:
-# more than the endpoints of a small pool, so that a rolling restart costs nobody.
+# Maximum number of times that a stage is sent again after attempts that failed or did
+# not run: more than a small pool has endpoints, so that a rolling restart of the pool
+# makes no request fail.
 MAX_RESENDS = 4
-# How often an endpoint is asked what became of a call; its connection may be reset.
-MAX_ASKS = 3
-# What a second attempt costs the budget of retries, in attempts.
+# Maximum number of queries for an attempt's outcome. There may be several, as the
+# connection may be reset during a query too.
+MAX_QUERIES = 3
+# Cost of a retry after a failed attempt, in tokens of the retry budget.
 FAILURE_COST = 1.0
 COMPONENTS = PlannerComponents()
 
 
 class Planner:
     """
-    One entry's decisions. Each method takes the time and returns actions.
+    Makes all decisions of one entry.
 
-    ``random`` draws the candidates that a decision looks at; entries need
-    different seeds, or they would all look at the same ones.
+    Each event method takes the current time and returns the actions to execute.
+    ``random`` samples the endpoints that a decision compares; entries need different
+    seeds, so that they don't all compare the same endpoints.
     """
 
     def __init__(
@@ -85,7 +88,7 @@
         )
         self._streams = StreamMonitor(self._times, self._loads)
         self._coordinator = components.coordinator()
-        self._first_events = FirstEventTimes()
+        self._first_event_times = FirstEventTimes()
         self._inputs = components.inputs(random, self._coordinator, self._times)
         self._outcome_recorder = OutcomeRecorder(
             self._times,
@@ -111,17 +114,17 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests admitted and not yet ended."""
+        """Number of requests that were admitted and have not ended."""
         return len(self._ledger)
 
     @property
     def has_pieces(self) -> bool:
-        """Whether pieces are to be made, of whichever entry's requests."""
+        """Whether pieces are queued or running here, for any entry's requests."""
         return self._coordinator.batcher.is_busy
 
     @property
     def pieces_waiting(self) -> int:
-        """Pieces that wait for a call here, of whichever entry's requests."""
+        """Number of pieces that are queued here, for any entry's requests."""
         return self._coordinator.batcher.waiting
 
     @property
@@ -130,27 +133,27 @@
         return self._ledger.counters
 
     def inputs_of(self, request_id: str) -> tuple[StoredResult, ...]:
-        """Return the results that a request in flight reads; none once it runs."""
+        """Return the stored results that a request has yet to read."""
         request = self._ledger.find(request_id)
         return () if request is None else request.inputs
 
     # Events
 
     def request_arrived(self, now: float, arrival: Arrival) -> list[Action]:
-        """Admit and send the first stage, or refuse."""
+        """Admit a request and start it, or refuse it."""
         for stage in arrival.pipeline.stages:
             self._membership.prepare(now, stage)
-        verdict = self._admission.decide(now, arrival)
-        if verdict.reason is None and arrival.piece_work is not None:
-            verdict = self._inputs.judge(now, arrival, arrival.piece_work)
-        if verdict.reason is not None:
+        decision = self._admission.decide(now, arrival)
+        if decision.reason is None and arrival.piece_work is not None:
+            decision = self._inputs.judge(now, arrival, arrival.piece_work)
+        if decision.reason is not None:
             self.counters.refused_on_arrival += 1
             return [
                 Refuse(
                     arrival.request_id,
                     RequestOutcome.NOT_RUN,
-                    verdict.reason,
-                    verdict.retry_after_s,
+                    decision.reason,
+                    decision.retry_after_s,
                 )
             ]
         request = self._ledger.open(arrival)
@@ -160,56 +163,64 @@
         return self._start_stage(now, request)
 
     def pieces_ended(self, now: float, call: int, end: PiecesEnded) -> list[Action]:
-        """Take the end of a call with pieces."""
+        """Handle the end of a call with pieces."""
         return self._apply_effects(now, self._coordinator.call_ended(now, call, end))
 
     def jobs_submitted(
-        self, now: float, asker: str, asks: Iterable[PieceJob]
+        self, now: float, submitter: str, jobs: Iterable[PieceJob]
     ) -> list[Action]:
-        """Take pieces that another entry wants made."""
-        return self._apply_effects(now, self._coordinator.accept_jobs(now, asker, asks))
+        """Accept jobs from another entry."""
+        return self._apply_effects(
+            now, self._coordinator.accept_jobs(now, submitter, jobs)
+        )
 
-    def reports_received(self, now: float, told: Iterable[PieceReport]) -> list[Action]:
-        """Hear from another entry what became of pieces."""
-        return self._apply_effects(now, self._coordinator.take_reports(now, told))
+    def reports_received(
+        self, now: float, reports: Iterable[PieceReport]
+    ) -> list[Action]:
+        """Handle another entry's reports on jobs that were submitted to it."""
+        return self._apply_effects(now, self._coordinator.take_reports(now, reports))
 
     def results_freed(
         self, now: float, results: Iterable[StoredResult], ended: str = ""
     ) -> list[Action]:
-        """Take another entry's word that results are read no more, or a request."""
+        """
+        Release results that another entry no longer needs.
+
+        ``ended`` is the id of a request that has ended there, if any.
+        """
         return self._coordinator.free_for_peer(now, results, ended)
 
     def peers_changed(self, now: float, peers: Iterable[Peer]) -> list[Action]:
-        """Use these live entries beside this one."""
+        """Replace the set of other live entries."""
         self._coordinator.replace_peers(peers)
         return []
 
     @property
     def awaited_peers(self) -> frozenset[str]:
-        """The entries that make pieces for requests of this one now."""
+        """The entries that currently run jobs submitted by this one."""
         return self._coordinator.awaited_peers
 
     def unavailable_peers(self, now: float) -> frozenset[str]:
-        """Return the live entries that are asked for nothing, as they failed."""
+        """Return the live entries that get no jobs because they have failed."""
         return self._coordinator.unavailable_peers(now)
 
     def entry_leaving(self, now: float) -> list[Action]:
-        """Make no more pieces for others, as this entry leaves."""
+        """Stop running jobs of other entries, because this entry is leaving."""
         return self._apply_effects(now, self._coordinator.leave(now))
 
     def peer_failed(self, now: float, peer: str) -> list[Action]:
-        """Ask an entry that did not answer for nothing for a while."""
+        """Submit no jobs for a while to an entry that did not answer."""
         return self._apply_effects(now, self._coordinator.peer_failed(now, peer))
 
     def peer_recovered(self, now: float, peer: str) -> list[Action]:
-        """Ask an entry again that answers and takes part."""
+        """Submit jobs again to an entry that has answered and runs jobs."""
         self._coordinator.peer_recovered(peer)
         return []
 
     def reply(
         self, now: float, attempt: AttemptId, result: AttemptResult
     ) -> list[Action]:
-        """Take the end of an attempt; one that is no longer awaited is dropped."""
+        """Handle the end of an attempt; ignored if the attempt is no longer live."""
         request = self._ledger.find(attempt.request_id)
         if request is None or attempt not in request.live:
             return []
@@ -224,19 +235,20 @@
         return self._attempt_failed(now, request, ended, result)
 
     def progress(self, now: float, attempt: AttemptId, chunks: int) -> list[Action]:
-        """Note that the caller has ``chunks`` chunks of a streamed stage."""
+        """Handle chunks of a streamed stage; the caller now has ``chunks`` of them."""
         request = self._ledger.find(attempt.request_id)
         if request is not None and attempt in request.live:
             request.chunks = max(request.chunks, chunks)
             live = request.live[attempt]
             if live.pending_prefill_tokens:
                 name = request.arrival.pipeline.name
-                self._first_events.note(name, now - live.sent_at)
-                # Known as soon as it is read: the next request of a session comes
-                # before this one's stream has ended, and would be read elsewhere.
+                self._first_event_times.add(name, now - live.sent_at)
+                # The prefix is cached as soon as it has been processed. If it were
+                # recorded only at the end of the stream, the next request of the
+                # session, which may arrive before that, would be sent elsewhere.
                 self._prefixes.add_run(now, live.endpoint, request.arrival.prefix)
-            self._ledger.mark_prompt_read(live)
-            self._streams.note(
+            self._ledger.mark_prefill_done(live)
+            self._streams.add_chunks(
                 now, request.current_stage, live.endpoint, live.stream, chunks
             )
             freed = self._inputs.free(now, request)
@@ -246,32 +258,32 @@
     def load_report(
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
-        """Take an endpoint's load, from a reply or a greeting."""
+        """Handle a load report, which came with a reply or was polled."""
         self._membership.apply_report(now, endpoint, report)
         return []
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
-        """Take an engine's word of its prefix cache, late or after a gap."""
+        """Handle an engine's prefix-cache event; events may be late or missing."""
         self._prefixes.apply_event(now, endpoint, event)
         return []
 
     def endpoint_leaving(self, now: float, endpoint: str) -> list[Action]:
-        """Send nothing new to an endpoint."""
+        """Send no new work to an endpoint."""
         self._membership.mark_leaving(now, endpoint)
         return []
 
     def endpoint_restored(self, now: float, endpoint: str) -> list[Action]:
-        """Use an endpoint again that was thought to leave."""
+        """Use an endpoint again that had been marked as leaving."""
         self._membership.mark_staying(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
-        """Use newer settings for what comes; live requests keep their pipeline."""
+        """Apply new settings; requests in flight keep their pipeline."""
         self._configure(now, settings)
         return []
 
     def caller_disconnected(self, now: float, request_id: str) -> list[Action]:
-        """Cancel and forget a request whose caller has closed the connection."""
+        """Cancel a request whose caller has closed the connection."""
         request = self._ledger.find(request_id)
         if request is None:
             return []
@@ -281,7 +293,12 @@
         ]
 
     def tick(self, now: float) -> list[Action]:
-        """End the requests whose deadline has passed; look at slow attempts."""
+        """
+        Perform work that is due by time.
+
+        Refuses requests whose deadline has passed, hedges slow attempts, polls loads,
+        and sends batches of pieces that have waited long enough.
+        """
         self._accounts.refresh(now)
         actions = self._membership.due_load_requests(now)
         actions.extend(self._load_poller.due_load_requests(now))
@@ -308,14 +325,14 @@
             self._inputs.pieces_deadline(arrival),
             arrival.priority,
             self._router.predicted_data_centre(now, arrival),
-            self._first_events.usual_s(arrival.pipeline.name),
+            self._first_event_times.mean_s(arrival.pipeline.name),
         )
         return self._apply_effects(now, effects)
 
     def _recompute_inputs(
         self, now: float, request: Request, retry_cost: float
     ) -> list[Action]:
-        """Make a request's inputs once more, then send it again."""
+        """Compute a request's missing inputs again, then send it again."""
         request.awaits_inputs = True
         request.retry_cost = retry_cost
         request.inputs = ()
@@ -374,8 +391,9 @@
     def _should_refuse_late(self, now: float, request: Request) -> bool:
         if not self._cannot_meet_deadline(now, request):
             return False
-        # What was learned may be over: with nothing at the slowest stage, one
-        # request goes on, or none would ever show that the stage is well again.
+        # The stage may have recovered since its run times were measured. If no attempt
+        # is outstanding in the pool of the slowest stage, the request is sent, so that
+        # the stage is measured again; otherwise requests would be refused for ever.
         slowest = self._times.slowest(request.remaining)
         return self._loads.pool(slowest.pool).outstanding > 0
 
@@ -389,7 +407,7 @@
         self, now: float, request: Request, attempt: AttemptId, lost: LiveAttempt
     ) -> list[Action]:
         load = self._loads.find(lost.endpoint)
-        if lost.queries >= MAX_ASKS or load is None:
+        if lost.queries >= MAX_QUERIES or load is None:
             return self._refuse(now, request, RefusalReason.STAGE_FAILED)
         self._ledger.restore_attempt(request, attempt, lost)
         return [QueryAttempt(attempt, lost.endpoint)]
@@ -423,11 +441,12 @@
 
     def _retry_cost(self, request: Request, ended: LiveAttempt, not_run: bool) -> float:
         """
-        Return what another attempt costs the budget.
+        Return the budget cost of another attempt.
 
-        A refusal by one that leaves or lacks the model is free: no second call, so
-        there are no more of them than endpoints, and a rolling restart would
-        otherwise use up the tries of a request that one endpoint could take.
+        A retry is free if the endpoint refused the attempt because it is leaving or
+        lacks the model. Such an endpoint gets no second attempt, so that the number of
+        free retries is bounded by that of endpoints. Otherwise a rolling restart could
+        use up the retries of a request that one endpoint is still able to serve.
         """
         load = self._loads.find(ended.endpoint)
         if (
@@ -441,14 +460,14 @@
     def _cancel_overtaken(
         self, now: float, request: Request, ahead: LiveAttempt
     ) -> list[Action]:
-        """Cancel attempts that a later one of the same stream has passed."""
-        passed = [
+        """Cancel earlier attempts that have fewer chunks than a later one."""
+        overtaken = [
             attempt
             for attempt, live in request.live.items()
             if live.sent_at < ahead.sent_at and live.stream.chunks < ahead.stream.chunks
         ]
         actions: list[Action] = []
-        for attempt in passed:
+        for attempt in overtaken:
             loser = self._ledger.remove_attempt(request, attempt)
             self._outcome_recorder.attempt_overtaken(now, loser, ahead)
             actions.append(Cancel(attempt, loser.endpoint))
@@ -457,8 +476,8 @@
     def _refuse_late(
         self, now: float, request: Request, retry_after_s: float = 0.0
     ) -> list[Action]:
-        """Refuse before its deadline what can't be answered by it."""
-        # Where no attempt ran, its caller is told when to come back.
+        """Refuse, before its deadline, a request that can't be answered by then."""
+        # If no attempt has run, the caller may retry the request later.
         reason = (
             RefusalReason.OVERLOAD
             if request.nothing_started
--- a/packages/policy/src/amaranthtally/policy/planner_components.py
+++ b/packages/policy/src/amaranthtally/policy/planner_components.py
@@ -1,4 +1,4 @@
-"""What a planner decides with; an experiment replaces one part by a simpler one."""
+"""The replaceable components of a planner, for experiments that ablate one of them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerComponents:
-    """Factories of the parts that take one decision each."""
+    """Factories of the components that a planner delegates its decisions to."""
 
     stage_times: Callable[[], StageTimes] = StageTimes
     loads: Callable[[], LoadTable] = LoadTable
--- a/packages/policy/src/amaranthtally/policy/request_ledger.py
+++ b/packages/policy/src/amaranthtally/policy/request_ledger.py
@@ -1,4 +1,4 @@
-"""Requests in flight and their attempts; each is opened once and closed once."""
+"""The requests in flight; each is opened exactly once and closed exactly once."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """What the policy has done since its start, in requests and attempts."""
+    """Numbers of requests, attempts and ejections since the planner's start."""
 
     admitted: int = 0
     refused_on_arrival: int = 0
@@ -36,7 +36,12 @@
 
 
 class RequestLedger:
-    """Keeps requests, attempts and the sums that follow from them in step."""
+    """
+    Holds the requests in flight and their attempts.
+
+    Keeps the counts of pending requests and outstanding attempts, by pool and by
+    endpoint, consistent with them.
+    """
 
     def __init__(self, loads: LoadTable) -> None:
         self._loads = loads
@@ -58,8 +63,8 @@
     # Requests
 
     def open(self, arrival: Arrival) -> Request:
-        """Take an admitted request in."""
-        ensure(arrival.request_id not in self._requests, "a request arrives once")
+        """Add an admitted request."""
+        ensure(arrival.request_id not in self._requests, "request ids are unique")
         request = Request(arrival)
         self._requests[arrival.request_id] = request
         self._counters.admitted += 1
@@ -68,14 +73,14 @@
         return request
 
     def advance_stage(self, request: Request) -> bool:
-        """Go on to the next stage; false when there is none."""
-        ensure(not request.live, "a stage ends with no attempt live")
-        self._passed(request.current_stage.pool)
+        """Advance a request to its next stage; false if there is none."""
+        ensure(not request.live, "a stage ends without live attempts")
+        self._remove_pending(request.current_stage.pool)
         request.next_stage()
         return bool(request.remaining)
 
     def close_answered(self, request: Request) -> Answer:
-        """End a request with its answer."""
+        """Close a request whose stages have all finished."""
         self._close(request)
         self._counters.answered += 1
         return Answer(request.id)
@@ -83,25 +88,25 @@
     def close_refused(
         self, request: Request, reason: RefusalReason, retry_after_s: float
     ) -> list[Action]:
-        """End a request without an answer; its live attempts are cancelled."""
+        """Close a request without an answer, and cancel its live attempts."""
         outcome = (
             RequestOutcome.NOT_RUN
             if request.nothing_started
             else RequestOutcome.UNKNOWN
         )
         cancels = self.cancel_all(request)
-        # Nothing may be reported as not run on the word of a cancel: that is sent,
-        # not confirmed, and the endpoint may have started by the time it comes.
+        # A cancelled attempt does not count as not run: cancels are not confirmed, and
+        # the endpoint may have started the attempt before the cancel arrives.
         ensure(
             outcome is RequestOutcome.UNKNOWN or not cancels,
-            "not_run is only said where nothing started",
+            "not_run is reported only if no attempt may have started",
         )
         self._close(request)
         self._counters.refused += 1
         return [*cancels, Refuse(request.id, outcome, reason, retry_after_s)]
 
     def close_disconnected(self, request: Request) -> list[Action]:
-        """End a request whose caller has gone."""
+        """Close a request whose caller has disconnected."""
         cancels = self.cancel_all(request)
         self._close(request)
         self._counters.disconnected += 1
@@ -112,16 +117,20 @@
     def add_attempt(
         self, request: Request, load: EndpointLoad, attempt: LiveAttempt
     ) -> AttemptId:
-        """Note an attempt that is sent now."""
-        ensure(self._requests.get(request.id) is request, "nothing sent after an end")
-        # What a request is bound to is the only place where it may have run: it is
-        # asked there also when it leaves, and its sidecar starts nothing new.
+        """Add an attempt that is about to be sent."""
+        ensure(
+            self._requests.get(request.id) is request,
+            "attempts are sent only for requests in flight",
+        )
+        # A bound request is sent to its endpoint even if that is leaving: it can't run
+        # anywhere else, and the sidecar may have the result of an earlier attempt. A
+        # leaving sidecar does not start new calls.
         bound = request.bound_to == load.endpoint.id
-        ensure(bound or not load.leaving, "no new work to a leaving endpoint")
+        ensure(bound or not load.leaving, "a leaving endpoint gets no new work")
         stage = request.current_stage
         ensure(
             stage.repeatable or not request.live,
-            "a stage that may not be repeated has one live attempt",
+            "a stage that must not be repeated has at most one live attempt",
         )
         request.stage_attempts += 1
         request.attempts_sent += 1
@@ -132,17 +141,17 @@
         return attempt_id
 
     def remove_attempt(self, request: Request, attempt_id: AttemptId) -> LiveAttempt:
-        """Note that an attempt has ended, or is no longer wanted."""
+        """Remove an attempt that has ended or is being cancelled."""
         attempt = request.live.pop(attempt_id)
-        self.mark_prompt_read(attempt)
+        self.mark_prefill_done(attempt)
         self._loads.remove_attempt(attempt.endpoint, request.current_stage.pool)
         return attempt
 
-    def mark_prompt_read(self, attempt: LiveAttempt) -> None:
-        """Note that an attempt's prompt is read, or is no longer wanted."""
+    def mark_prefill_done(self, attempt: LiveAttempt) -> None:
+        """Stop counting the prompt tokens of an attempt as pending at its endpoint."""
         load = self._loads.find(attempt.endpoint)
         if load is not None:
-            # One that was forgotten and registered anew starts from 0 again.
+            # An endpoint that was removed and registered again has restarted from 0.
             load.pending_prefill_tokens = max(
                 0, load.pending_prefill_tokens - attempt.pending_prefill_tokens
             )
@@ -151,24 +160,27 @@
     def restore_attempt(
         self, request: Request, attempt_id: AttemptId, attempt: LiveAttempt
     ) -> None:
-        """Take an attempt back as live, since its sidecar is asked about it."""
-        ensure(self._requests.get(request.id) is request, "nothing asked after an end")
+        """Add a lost attempt again while its sidecar is queried for its outcome."""
+        ensure(
+            self._requests.get(request.id) is request,
+            "attempts are queried only for requests in flight",
+        )
         load = self._loads.find(attempt.endpoint)
-        ensure(load is not None, "only an endpoint that is known is asked")
+        ensure(load is not None, "only known endpoints are queried")
         attempt.queries += 1
         request.live[attempt_id] = attempt
         if load is not None:
             self._loads.add_attempt(load)
 
     def cancel_all(self, request: Request) -> list[Action]:
-        """Cancel every live attempt of a request."""
+        """Remove all live attempts of a request and return their cancels."""
         cancels: list[Action] = []
         for attempt_id in list(request.live):
             endpoint = self.remove_attempt(request, attempt_id).endpoint
             cancels.append(Cancel(attempt_id, endpoint))
         return cancels
 
-    def _passed(self, pool: str) -> None:
+    def _remove_pending(self, pool: str) -> None:
         load = self._loads.pool(pool)
         load.pending -= 1
         ensure(load.pending >= 0, "a pool's pending requests are not negative")
@@ -179,9 +191,9 @@
             "an admitted request ends exactly once",
         )
         for stage in request.remaining:
-            self._passed(stage.pool)
+            self._remove_pending(stage.pool)
         counters = self._counters
-        # The one that is being closed is counted right after.
+        # The caller counts the request that is being closed after this returns.
         ended = counters.answered + counters.refused + counters.disconnected + 1
         ensure(
             counters.admitted == ended + len(self._requests),
--- a/packages/policy/src/amaranthtally/policy/requests.py
+++ b/packages/policy/src/amaranthtally/policy/requests.py
@@ -1,4 +1,4 @@
-"""What the policy keeps of a request and its attempts."""
+"""The state of requests in flight and of their live attempts."""
 
 from dataclasses import dataclass, field
 
@@ -15,9 +15,10 @@
     """
     An attempt that was sent and has not ended.
 
-    ``sent_at`` is a time stamp. ``wait_s`` and ``run_s`` were predicted, and so
-    were ``beside``, the calls that run at its side, and the share ``cached``.
-    ``reading`` counts the prompt tokens that it was predicted to read.
+    ``sent_at`` is a time stamp. Predicted when it was sent were ``wait_s``, ``run_s``,
+    the number of ``concurrent`` other calls, and the ``cached_share`` of its prefix.
+    ``pending_prefill_tokens`` are the prompt tokens that it was predicted to process, 0
+    after its first chunk. ``queries`` counts the queries for its outcome.
     """
 
     endpoint: str
@@ -38,12 +39,13 @@
     """
     A request that was admitted and has not ended.
 
-    ``sent`` counts attempts over all stages and ``unstarted`` those proved not to
-    have started. ``number``, ``resends`` and ``stage_unstarted`` count within the
-    stage. ``remaining``
-    holds the stage that runs now, ``current``, and those after it. While it is
-    ``gathering`` its pieces are made; ``inputs`` are their results, and ``retry_cost``
-    what the attempt that waits for them takes from the retry budget.
+    ``attempts_sent`` counts the attempts at all stages, and ``attempts_not_run`` those
+    that provably did not run. ``stage_attempts``, ``stage_attempts_not_run`` and
+    ``resends`` count only those at the current stage; ``chunks`` is the number of its
+    chunks that the caller has. ``remaining`` holds the current stage and those after
+    it, ``excluded`` the endpoints at which the current stage has failed. While the
+    request ``awaits_inputs``, its pieces are being computed; ``inputs`` are their
+    results, and ``retry_cost`` is the budget cost of the attempt that waits for them.
     """
 
     arrival: Arrival
@@ -74,22 +76,22 @@
 
     @property
     def bound_to(self) -> str:
-        """The one endpoint that may run the current stage; empty where any may."""
+        """The only endpoint that may run the current stage, or "" if any may."""
         return self.arrival.bound.get(self.stage_index, "")
 
     @property
     def has_attempts_left(self) -> bool:
-        """Whether another endpoint may run the current stage."""
+        """Whether the stage's limit allows another attempt that may run."""
         limit = self.current_stage.max_attempts
         return not limit or self.stage_attempts - self.stage_attempts_not_run < limit
 
     @property
     def nothing_started(self) -> bool:
-        """Whether every attempt sent is proved not to have started."""
+        """Whether all attempts sent provably did not run."""
         return self.attempts_sent == self.attempts_not_run
 
     def next_stage(self) -> None:
-        """Go on to the next stage, or past the last."""
+        """Advance to the next stage, or past the last."""
         self.stage_index += 1
         self.remaining = self.remaining[1:]
         if self.remaining:
--- a/packages/policy/src/amaranthtally/policy/routes.py
+++ b/packages/policy/src/amaranthtally/policy/routes.py
@@ -1,4 +1,4 @@
-"""Which callers' requests go where: routes, pools, accounts and callers' limits."""
+"""The routing configuration: routes, pools, accounts and limits of callers."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -24,13 +24,13 @@
 DEFAULT_BODY_BYTES = 4_194_304
 DEFAULT_HEADER_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0
-# How many priorities an account or a route can have; lower ones count as the last.
-# Their product fits the two bytes that a rank has between entries.
+# Number of priorities of an account or a route; less urgent ones count as the last.
+# A rank combines both and must fit into two bytes in messages between entries.
 PRIORITIES = 100
 
 
 class CallKind(Enum):
-    """What may be repeated of a route's calls, and how they are answered."""
+    """Whether a route's calls may be repeated, and whether their answers stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -38,7 +38,7 @@
 
 
 class WeightedPool(NamedTuple):
-    """A pool and its share of a route's requests, in any unit."""
+    """A pool and the weight of its share of a route's requests."""
 
     pool: str
     weight: float
@@ -47,9 +47,9 @@
 @dataclass(frozen=True, slots=True)
 class PieceStage:
     """
-    A stage of a route's graph, run in pieces before the request itself.
+    A stage of a route's graph, computed in pieces before the request itself runs.
 
-    ``after`` holds the positions of the stages whose results its pieces read;
+    ``after`` holds the indices of the stages whose results its pieces read;
     ``result_bytes`` is the approximate size of one piece's result.
     """
 
@@ -61,11 +61,11 @@
 @dataclass(frozen=True, slots=True)
 class PieceLimits:
     """
-    What one endpoint of a pool for pieces takes.
+    The limits of one endpoint of a pool that computes pieces.
 
-    ``slots`` calls run at once and ``queue`` wait; a call holds at most ``batch``
-    pieces and takes ``call_s`` and ``piece_s`` for each piece, in seconds. Results
-    share ``memory_bytes`` and are kept for ``result_ttl_s`` seconds at most.
+    At most ``slots`` calls run concurrently and ``queue`` wait. A call holds at most
+    ``batch`` pieces and takes ``call_s`` seconds plus ``piece_s`` for each of them.
+    Results share ``memory_bytes`` and are kept for ``result_ttl_s`` seconds at most.
     """
 
     slots: int = 1
@@ -77,36 +77,38 @@
     result_ttl_s: float = 0.0
 
     def call_time_s(self, pieces: int) -> float:
-        """Return how long a call with so many pieces takes."""
+        """Return the duration in seconds of a call with so many pieces."""
         return self.call_s + pieces * self.piece_s
 
     def full_call_time_s(self) -> float:
-        """Return how long a call with as many pieces as it may hold takes."""
+        """Return the duration in seconds of a call with ``batch`` pieces."""
         return self.call_time_s(self.batch)
 
     def part_size(self, pieces: int) -> int:
         """
-        Return how many of a stage's pieces go together: all, or even parts of them.
+        Return the size of the parts that a stage's pieces are divided into.
 
-        A request that is larger than a call would else find none that is empty beside
-        smaller ones, and be late each time.
+        A part is sent in one call. A stage with more pieces than a call can hold is
+        divided evenly: otherwise it would need calls that hold no other request's
+        pieces, would rarely get them while smaller requests arrive, and would always be
+        late.
         """
         parts = ceil(pieces / max(1, self.batch))
         return max(1, ceil(pieces / max(1, parts)))
 
     def part_index(self, number: int, pieces: int) -> int:
-        """Return which part of a stage's pieces one belongs to, from 0."""
+        """Return the index of the part that a stage's piece belongs to."""
         return number // self.part_size(pieces)
 
     @property
     def piece_share_s(self) -> float:
-        """A piece's share of a full call, in seconds."""
+        """The duration of a full call divided by its pieces, in seconds."""
         return self.full_call_time_s() / max(1, self.batch)
 
 
 @dataclass(frozen=True, slots=True)
 class EngineLimits:
-    """What one model engine takes: requests at once, and tokens in its memory."""
+    """Limits of one model engine: concurrent requests, and tokens in its memory."""
 
     slots: int = 1
     token_capacity: int = 0
@@ -114,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Endpoints that do the same work; limits are those of one endpoint."""
+    """Interchangeable endpoints; the limits are those of one endpoint."""
 
     name: str
     max_connections: int = 0
@@ -125,7 +127,7 @@
 @dataclass(frozen=True, slots=True)
 class Route:
     """
-    Callers' requests of one host and path prefix, and how they are served.
+    How requests to one host and path prefix are served.
 
     Times are in seconds from when the caller sent the request. ``timeout_s`` bounds the
     whole answer. ``objective_s`` is the latency objective, after which an answer is
@@ -153,13 +155,13 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether one request may run more than once."""
+        """Whether a request may be run more than once."""
         return self.kind is CallKind.IDEMPOTENT or self.is_resumable
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """A client account; ``priority`` goes before that of a route where it is set."""
+    """A client account; its ``priority``, if set, precedes that of the route."""
 
     name: str
     priority: int | None = None
@@ -167,16 +169,16 @@
 
 def request_rank(route: Route, account: Account | None) -> int:
     """
-    Return which requests go first where not all can; 0 is the first.
+    Return the rank by which requests are served under load; 0 is the most urgent.
 
-    The account's priority decides, and among equals the route's. The failure: all
-    accounts had one priority, the routes' counted for nothing beside it, and in a burst
-    the kind that operators had put first was on time less often than any other.
+    The account's priority decides, and among accounts of equal priority the route's.
+    Without the second, all accounts having the same priority, the route that operators
+    had given the highest priority was on time less often in a burst than any other.
     """
-    first = route.priority
+    account_priority = route.priority
     if account is not None and account.priority is not None:
-        first = account.priority
-    return _bounded(first) * PRIORITIES + _bounded(route.priority)
+        account_priority = account.priority
+    return _bounded(account_priority) * PRIORITIES + _bounded(route.priority)
 
 
 def _bounded(priority: int) -> int:
@@ -185,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send, in bytes, and how slowly, in seconds."""
+    """Limits on the size of callers' requests, in bytes, and time-outs in seconds."""
 
     header_bytes: int = DEFAULT_HEADER_BYTES
     body_bytes: int = DEFAULT_BODY_BYTES
@@ -195,7 +197,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One version of the operators' configuration; a higher version is newer."""
+    """
+    One version of the routing configuration; a higher version is newer.
+
+    With ``needs_keys`` requests must carry an account's key, except on public routes.
+    """
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -211,7 +217,7 @@
         grouped: dict[str, list[Route]] = {}
         for route in self.routes:
             grouped.setdefault(route.host.lower(), []).append(route)
-        # The longest prefix wins, so the first match of a sorted group is the route.
+        # Longest prefix first, so that ``match`` can return the first that matches.
         ordered = {
             host: tuple(sorted(group, key=lambda r: len(r.prefix), reverse=True))
             for host, group in grouped.items()
@@ -219,12 +225,12 @@
         object.__setattr__(self, "by_host", ordered)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route whose prefix is the longest of ``path``, or ``None``."""
+        """Return the route with the longest matching prefix, or ``None``."""
         for route in self.by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def account_of(self, key: str) -> Account | None:
-        """Return the account that holds a key, or ``None``."""
+        """Return the account of an API key, or ``None``."""
         return self.accounts_by_key.get(key)
--- a/packages/policy/src/amaranthtally/policy/run_queue.py
+++ b/packages/policy/src/amaranthtally/policy/run_queue.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar: which waiting call runs next, and which never will."""
+"""The run queue of a sidecar: orders calls, and drops those that are too late."""
 
 import heapq
 from dataclasses import dataclass
@@ -9,15 +9,19 @@
 
 __all__ = ["QueuedCall", "RunQueue"]
 
-ENOUGH_SAMPLES = 20
-QUICK = 0.05
-MEMO_SAMPLES = 16
+# Number of run times needed before waiting calls are dropped as too late.
+MIN_SAMPLES = 20
+# Quantile of run times that a fast run takes.
+FAST_QUANTILE = 0.05
+# The fast run time is computed again after this many samples.
+REFRESH_SAMPLES = 16
+# Weight of a new sample in the smoothed run time.
 SERVICE_WEIGHT = 0.1
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueuedCall:
-    """A call that waits; ordered by priority (low first), deadline, serial."""
+    """A waiting call; ordered by priority (lowest number first), deadline, serial."""
 
     priority: int
     deadline: float
@@ -26,11 +30,11 @@
 
 class RunQueue:
     """
-    A bounded queue by priority and deadline, with a limit on what runs.
+    A bounded priority queue with an adaptive limit on the calls that run concurrently.
 
-    Calls are named by serial numbers that the caller hands out. Before it asks
-    for the next call, the caller takes those that were ``dropped`` and answers
-    them at once: work that cannot end in time would only make others late too.
+    The owner assigns the calls' serial numbers. Before it starts the next call it must
+    take the ``dropped`` ones and refuse them immediately: a call that can't finish in
+    time would only delay the others.
     """
 
     def __init__(self, limit: int, capacity: int) -> None:
@@ -43,45 +47,45 @@
         self._running = 0
         self._service_s = 0.0
         self._runs = TimeSketch()
-        self._quick_s = 0.0
-        self._until_memo = ENOUGH_SAMPLES
+        self._fast_run_s = 0.0
+        self._until_refresh = MIN_SAMPLES
 
     @property
     def running(self) -> int:
-        """Calls that run now."""
+        """Number of running calls."""
         return self._running
 
     @property
     def queued(self) -> int:
-        """Calls that wait."""
+        """Number of waiting calls."""
         return len(self._waiting)
 
     @property
     def limit(self) -> int:
-        """Calls that may run at once."""
+        """Maximum number of calls that run concurrently."""
         return self._limit.limit
 
     @property
     def service_s(self) -> float:
-        """Smoothed time of one call at the endpoint, in seconds."""
+        """Smoothed run time of a call at the endpoint, in seconds."""
         return self._service_s
 
     @property
     def backlog_s(self) -> float:
-        """Predicted wait of a new call, in seconds."""
+        """Predicted wait of a new call in the queue, in seconds."""
         ahead = self.queued + max(0, self._running - self.limit + 1)
         return ahead * self._service_s / self.limit
 
     def offer(self, now: float, call: QueuedCall) -> bool:
         """
-        Queue a call; false when nothing was queued.
+        Queue a call; returns false if it was not queued.
 
-        A call that cannot end in time is not queued. When the queue is full, one
-        of a lower priority makes room and comes out as dropped.
+        A call that can't finish in time is not queued. If the queue is full, the last
+        waiting call is dropped in favour of one of a more urgent priority.
         """
-        if self._is_hopeless(now, call.deadline):
+        if self._is_too_late(now, call.deadline):
             return False
-        if self.queued >= self._capacity and not self._make_room(call):
+        if self.queued >= self._capacity and not self._evict_for(call):
             return False
         self._waiting[call.serial] = call
         heapq.heappush(self._order, call)
@@ -89,24 +93,24 @@
         return True
 
     def dropped(self, now: float) -> list[QueuedCall]:
-        """Return the calls that wait no longer and never started, once."""
+        """Remove and return the calls that were evicted or have become too late."""
         dropped, self._evicted = self._evicted, []
-        while (at := self.drops_at()) is not None and at <= now:
+        while (at := self.next_drop_at()) is not None and at <= now:
             _, serial = heapq.heappop(self._deadlines)
             dropped.append(self._waiting.pop(serial))
         return dropped
 
-    def drops_at(self) -> float | None:
-        """Return when the next waiting call can't end in time; ``None`` without one."""
+    def next_drop_at(self) -> float | None:
+        """Return when the next waiting call becomes too late; ``None`` without one."""
         while self._deadlines:
             deadline, serial = self._deadlines[0]
             if serial in self._waiting:
-                return deadline - self._quick_s
+                return deadline - self._fast_run_s
             heapq.heappop(self._deadlines)
         return None
 
     def next_call(self, now: float) -> QueuedCall | None:
-        """Return a call to start now, or ``None``; a started call counts as running."""
+        """Remove and return the call to start now, if any; it counts as running."""
         while self._order and self._running < self.limit:
             call = heapq.heappop(self._order)
             if self._waiting.pop(call.serial, None) is not None:
@@ -115,41 +119,41 @@
         return None
 
     def withdraw(self, call: QueuedCall) -> None:
-        """Remove a call that waits."""
+        """Remove a waiting call."""
         self._waiting.pop(call.serial, None)
 
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
-        """Note that a running call ended, or failed, after ``run_s`` seconds."""
+        """Record that a running call finished or failed after ``run_s`` seconds."""
         self._running -= 1
-        ensure(self._running >= 0, "a call that ended was running")
+        ensure(self._running >= 0, "only running calls end")
         if failed:
             self._limit.failed(now, run_s)
             return
         self._limit.finished()
         weight = SERVICE_WEIGHT if self._service_s else 1.0
         self._service_s += weight * (run_s - self._service_s)
-        self._learn(run_s)
+        self._add_run_time(run_s)
 
-    def released(self) -> None:
-        """Note that a running call was cut off, which says nothing of its time."""
+    def aborted(self) -> None:
+        """Record that a running call was aborted, without using its time."""
         self._running -= 1
-        ensure(self._running >= 0, "a call that was cut off was running")
+        ensure(self._running >= 0, "only running calls are aborted")
 
-    def _learn(self, run_s: float) -> None:
+    def _add_run_time(self, run_s: float) -> None:
         self._runs.add(run_s)
-        self._until_memo -= 1
-        if self._until_memo <= 0:
-            self._until_memo = MEMO_SAMPLES
-            self._quick_s = self._runs.quantile(QUICK)
-
-    def _is_hopeless(self, now: float, deadline: float) -> bool:
-        """Whether even a quick run started now would end too late."""
-        return deadline - self._quick_s <= now
-
-    def _make_room(self, call: QueuedCall) -> bool:
-        worst = max(self._waiting.values(), default=None)
-        if worst is None or worst.priority <= call.priority:
+        self._until_refresh -= 1
+        if self._until_refresh <= 0:
+            self._until_refresh = REFRESH_SAMPLES
+            self._fast_run_s = self._runs.quantile(FAST_QUANTILE)
+
+    def _is_too_late(self, now: float, deadline: float) -> bool:
+        """Whether even a fast run started now would end after the deadline."""
+        return deadline - self._fast_run_s <= now
+
+    def _evict_for(self, call: QueuedCall) -> bool:
+        last = max(self._waiting.values(), default=None)
+        if last is None or last.priority <= call.priority:
             return False
-        del self._waiting[worst.serial]
-        self._evicted.append(worst)
+        del self._waiting[last.serial]
+        self._evicted.append(last)
         return True
--- a/packages/policy/src/amaranthtally/policy/timers.py
+++ b/packages/policy/src/amaranthtally/policy/timers.py
@@ -1,4 +1,4 @@
-"""Times at which the policy looks at a request again."""
+"""Timers of requests: for their deadlines, and for checks of slow attempts."""
 
 import heapq
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Timer(NamedTuple):
-    """A time to look at a request: at its deadline, or at an attempt that is slow."""
+    """A timer at time stamp ``at``: for one attempt, or for the request's deadline."""
 
     at: float
     serial: int
@@ -18,7 +18,12 @@
 
 
 class Timers:
-    """Timers by time. One whose request has ended still comes up, and is ignored."""
+    """
+    A queue of timers, ordered by time.
+
+    Timers are not removed when their request ends; the caller ignores those of ended
+    requests.
+    """
 
     def __init__(self) -> None:
         self._heap: list[Timer] = []
@@ -33,7 +38,7 @@
         heapq.heappush(self._heap, Timer(at, self._serial, request_id, attempt))
 
     def due(self, now: float) -> Timer | None:
-        """Return and remove a timer whose time has come, or ``None``."""
+        """Remove and return the earliest timer that is due, or ``None``."""
         if self._heap and self._heap[0].at <= now:
             return heapq.heappop(self._heap)
         return None
--- a/tests/at_most_once/test_ledger.py
+++ b/tests/at_most_once/test_ledger.py
@@ -166,6 +166,6 @@
     handed = ReceivedHandovers(1)
     found = []
     for status, final in (("unknown", False), ("finished", True), ("unknown", False)):
-        assert handed.take(0.0, handover(status, final))
+        assert handed.accept(0.0, handover(status, final))
         found.append(handed.call(INCARNATION, "one").status)
     assert found == ["unknown", "finished", "finished"]
--- a/tests/policy/support.py
+++ b/tests/policy/support.py
@@ -1,4 +1,4 @@
-"""A planner with a few endpoints, and events to feed it."""
+"""A planner with a few endpoints, and a driver that feeds it events."""
 
 from random import Random
 
@@ -22,7 +22,7 @@
 
 
 def endpoints(pool, local=3, remote=0):
-    """Return endpoints of a pool by id."""
+    """Return endpoints of a pool by id, the local ones first."""
     regions = [LOCAL_REGION] * local + [REMOTE_REGION] * remote
     names = [f"{pool}-{n}" for n in range(len(regions))]
     return {
@@ -31,14 +31,14 @@
     }
 
 
-def settings(found, **options):
-    """Return settings with these endpoints."""
-    return PolicySettings(1, LOCAL_REGION, LOCAL_REGION, found, **options)
+def settings(listed, **options):
+    """Return settings with the given endpoints."""
+    return PolicySettings(1, LOCAL_REGION, LOCAL_REGION, listed, **options)
 
 
-def planner(found, seed=1, **options):
-    """Return a planner with these endpoints."""
-    return Planner(settings(found, **options), Random(seed))
+def planner(listed, seed=1, **options):
+    """Return a planner with the given endpoints."""
+    return Planner(settings(listed, **options), Random(seed))
 
 
 def one_stage(pool="engine", weight=0.7, **options):
@@ -47,34 +47,34 @@
 
 
 class PlannerDriver:
-    """Feeds one planner, and keeps the attempts that are live."""
+    """Feeds events to one planner, and tracks the live attempts."""
 
-    def __init__(self, made, pipeline):
-        self.planner = made
+    def __init__(self, driven, pipeline):
+        self.planner = driven
         self.pipeline = pipeline
         self.serial = 0
         self.live = {}
 
     def arrive(self, now, account="a", deadline_s=4.0, **options):
-        """Give a request and return its actions."""
+        """Let a request arrive and return the actions."""
         self.serial += 1
         arrival = Arrival(
             f"r{self.serial}", account, self.pipeline, now + deadline_s, **options
         )
-        return self.take(self.planner.request_arrived(now, arrival))
+        return self.apply(self.planner.request_arrived(now, arrival))
 
-    def reply(self, now, send, fate=AttemptOutcome.FINISHED, run_s=0.1, **options):
+    def reply(self, now, send, outcome=AttemptOutcome.FINISHED, run_s=0.1, **options):
         """End an attempt and return the actions."""
-        result = AttemptResult(fate, run_s=run_s, **options)
+        result = AttemptResult(outcome, run_s=run_s, **options)
         self.live.pop(send.attempt, None)
-        return self.take(self.planner.reply(now, send.attempt, result))
+        return self.apply(self.planner.reply(now, send.attempt, result))
 
     def tick(self, now):
-        """Let time pass and return the actions."""
-        return self.take(self.planner.tick(now))
+        """Let the planner do what is due by time, and return the actions."""
+        return self.apply(self.planner.tick(now))
 
     def train(self, run_s=0.1, count=40, start=0.0):
-        """Run requests one after another; returns the time after them."""
+        """Run requests one after another, to be measured; returns the time after."""
         now = start
         for _ in range(count):
             (send,) = sends(self.arrive(now))
@@ -82,7 +82,7 @@
             self.reply(now, send, run_s=run_s)
         return now
 
-    def take(self, actions):
+    def apply(self, actions):
         for action in actions:
             if isinstance(action, Send):
                 self.live[action.attempt] = action
@@ -98,8 +98,8 @@
 
 def refusal(actions):
     """Return the one refusal among actions."""
-    (found,) = [action for action in actions if isinstance(action, Refuse)]
-    return found
+    (refuse,) = [action for action in actions if isinstance(action, Refuse)]
+    return refuse
 
 
 def answered(actions):
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""What is admitted, split and refused, and when a refused caller may come back."""
+"""Admission, division of deadlines, refusals and their retry times."""
 
 from amaranthtally.policy import (
     AccountLimits,
@@ -20,7 +20,7 @@
 
 
 def burst(driver, now, count, account="a"):
-    """Return the refusals of requests that come at once."""
+    """Return the refusals of requests that arrive at the same time."""
     refused = []
     for _ in range(count):
         actions = driver.arrive(now, account)
@@ -29,10 +29,10 @@
     return refused
 
 
-def test_a_burst_is_refused_at_once_with_the_backlog_as_retry_after():
+def test_excess_of_a_burst_is_refused_with_the_backlog_as_retry_after():
     """
-    In harvest a hundred breakdowns come in one second, and all are answered late.
-    Every one was admitted; each finished after its deadline and made the next late.
+    A hundred requests arrive in one second. All were admitted, and all were late: each
+    finished after its deadline and delayed the next.
     """
     driver = PlannerDriver(planner(endpoints("engine", local=1)), one_stage())
     now = driver.train(run_s=0.5)
@@ -42,19 +42,19 @@
     assert {r.reason for r in refused} == {RefusalReason.OVERLOAD}
     assert all(0 < r.retry_after_s < 10 for r in refused)
     admitted = 100 - len(refused)
-    assert admitted * 0.5 / 4 <= 4.0, "what is admitted ends within the deadline"
+    assert admitted * 0.5 / 4 <= 4.0, "admitted requests end within the deadline"
 
 
-def test_a_burst_is_seen_before_it_reaches_the_slow_stage():
+def test_backlog_includes_requests_in_earlier_stages():
     """
-    All of a burst is admitted, although its last stage can do a tenth of it. Only
+    A whole burst was admitted although its last stage has a tenth of the capacity: only
     calls at the endpoints were counted, and the burst was still in the first stage.
     """
-    found = {**endpoints("encoder", 3), **endpoints("engine", 1)}
+    listed = {**endpoints("encoder", 3), **endpoints("engine", 1)}
     pipeline = Pipeline(
         "two", (Stage("encode", "encoder"), Stage("generate", "engine")), 4.0
     )
-    driver = PlannerDriver(planner(found), pipeline)
+    driver = PlannerDriver(planner(listed), pipeline)
     now = 0.0
     for _ in range(40):
         for run_s in (0.01, 0.5):
@@ -65,26 +65,26 @@
     assert burst(driver, now, 100)
 
 
-def test_a_stage_that_was_slow_is_tried_again_when_idle():
+def test_stage_that_was_slow_is_tried_again_when_idle():
     """
-    A stage hangs for a minute and every request is refused until the entry is
-    restarted. Its learned time exceeded the deadline, so nothing ran any more that
-    could have shown it well again.
+    A stage hung for a minute, and all requests were refused until the entry restarted:
+    its measured time exceeded the deadline, and no request ran that could have shown
+    that it had recovered.
     """
     driver = PlannerDriver(planner(endpoints("engine", 1)), one_stage())
     now = driver.train(run_s=9.0, count=40)
     assert sends(driver.arrive(now))
 
 
-def test_a_flooding_account_leaves_the_others_their_shares():
+def test_flooding_account_does_not_take_the_shares_of_others():
     """
-    One studio's script sends fifty times its usual reports; testers of all others
-    are refused. Requests were admitted first come, first served.
+    Guards against admission in the order of arrival: while one account sent fifty times
+    its usual number of requests, those of all other accounts were refused.
     """
     driver = PlannerDriver(planner(endpoints("engine", local=1)), one_stage())
     now = driver.train(run_s=0.1)
     refused = {"flood": 0, "quiet": 0}
-    given = {"flood": 0, "quiet": 0}
+    offered = {"flood": 0, "quiet": 0}
     for step in range(2000):
         now += 0.01
         for send in list(driver.live.values())[:4] if step % 10 == 0 else ():
@@ -92,18 +92,18 @@
         driver.tick(now)
         for account, every in (("flood", 1), ("quiet", 20)):
             if step % every == 0 and step > 500:
-                given[account] += 1
+                offered[account] += 1
                 refused[account] += not sends(driver.arrive(now, account))
             elif step % every == 0:
                 driver.arrive(now, account)
-    assert refused["flood"] > given["flood"] / 2
-    assert refused["quiet"] <= given["quiet"] * 0.02
+    assert refused["flood"] > offered["flood"] / 2
+    assert refused["quiet"] <= offered["quiet"] * 0.02
 
 
-def test_an_account_over_its_rate_is_told_when_a_token_is_there():
+def test_account_over_its_rate_may_retry_when_a_token_is_available():
     """
-    A partner's loop sends without pause and fills the queues of all. An account's
-    limit was read from the settings and never enforced.
+    Guards against a rate limit that is read from the settings but not enforced: one
+    account's loop sent without pause and filled the queues.
     """
     limits = {"a": AccountLimits(rate=2.0, burst=3.0)}
     driver = PlannerDriver(
@@ -115,10 +115,10 @@
     assert not burst(driver, 101.0, 2)
 
 
-def test_a_deadline_is_split_by_what_each_stage_takes():
+def test_deadline_is_split_by_the_run_times_of_stages():
     """
-    A generation is cut off though the request has time left, since each of four
-    stages got a quarter of the deadline.
+    Guards against equal shares of the deadline: with a quarter for each of four stages,
+    the slowest was cut off although the request had time left.
     """
     times = StageTimes()
     short, long = Stage("encode", "encoder"), Stage("generate", "engine")
@@ -130,10 +130,10 @@
     assert 3.0 < times.latest_finish(4.0, (long,)) < 3.2
 
 
-def test_a_sketch_keeps_quantiles_and_follows_a_change():
+def test_sketch_estimates_quantiles_and_follows_a_change():
     """
-    A stage becomes ten times slower and its deadline share stays the old one for
-    an hour, as every sample of the day before still counted.
+    Guards against samples that never lose weight: a stage became ten times slower, and
+    its share of the deadline did not change for an hour.
     """
     sketch = TimeSketch()
     for n in range(1000):
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -122,7 +122,7 @@
     (second,) = send(batcher, NOW + 0.4, *[ask(f"r{n}") for n in range(6)])
     assert second.details.shortage == "memory"
     assert second.details.waiting == 6
-    assert second.details.places == CATALOGUE.batch
+    assert second.details.batch_limit == CATALOGUE.batch
 
 
 def test_a_wait_counts_only_those_that_go_before(batcher):
--- a/tests/policy/test_failures.py
+++ b/tests/policy/test_failures.py
@@ -1,4 +1,4 @@
-"""Retries, hedges, ejection, resumption, and truth of refusals."""
+"""Retries, hedges, ejection, resumption of streams, and outcomes of refusals."""
 
 from amaranthtally.policy import (
     AttemptOutcome,
@@ -20,10 +20,10 @@
 )
 
 
-def test_retries_cannot_feed_a_storm():
+def test_retries_stay_within_their_budget():
     """
-    Every engine fails for a minute and stays overloaded for an hour. Each request
-    was sent three times more, just when there was the least capacity.
+    Guards against retry storms: all engines failed for a minute and stayed overloaded
+    for an hour, since each request was sent three more times.
     """
     driver = PlannerDriver(planner(endpoints("engine", 10)), one_stage())
     first, total, now = 0, 0, 1.0
@@ -39,10 +39,10 @@
     assert total <= first * 1.2 + 64
 
 
-def test_a_failing_endpoint_is_ejected_and_let_back_by_a_probe():
+def test_failing_endpoint_is_ejected_and_restored_by_a_probe():
     """
-    A third of all requests fail for as long as one engine of three is broken. It
-    failed so fast that it always had the fewest calls and drew ever more.
+    Guards against a broken engine that attracts requests: it failed so fast that it
+    always had the fewest calls, and a third of all requests was sent there and failed.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage())
     now = driver.train()
@@ -65,10 +65,10 @@
     assert broken in used
 
 
-def test_never_all_endpoints_are_ejected():
+def test_not_all_endpoints_are_ejected():
     """
-    A bad deployment makes every engine fail for a moment; afterwards all requests
-    are refused for half a minute, as no engine was left to send to.
+    Guards against an empty pool: a bad deployment made all engines fail for a moment,
+    and all requests were then refused for half a minute, since all were ejected.
     """
     driver = PlannerDriver(planner(endpoints("engine", 4)), one_stage())
     now = driver.train()
@@ -81,10 +81,10 @@
     assert sends(driver.arrive(now + 0.01))
 
 
-def test_a_permanent_failure_is_not_sent_again():
+def test_permanent_failure_is_not_retried():
     """
-    One malformed manual is read by every engine in turn and ejects them all. Its
-    failure was taken for the engine's.
+    Guards against one malformed input that is sent to all engines in turn and has them
+    all ejected, as its failures were counted against the engines.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage())
     for n in range(20):
@@ -94,8 +94,12 @@
     assert driver.planner.counters.ejections == 0
 
 
-def stuck(driver, now):
-    """Tick until the deadline with one attempt that never ends."""
+def run_stuck_request(driver, now):
+    """
+    Tick until a hedge is sent for an attempt that never ends, or the deadline passes.
+
+    Returns the attempt, the actions of the last tick if it sent a hedge, and the time.
+    """
     actions = []
     (send,) = sends(driver.arrive(now))
     for step in range(1, 390):
@@ -105,14 +109,14 @@
     return send, [], now + 4.0
 
 
-def test_a_stuck_attempt_is_hedged_and_the_loser_cancelled():
+def test_stuck_attempt_is_hedged_and_then_cancelled():
     """
-    A farmer waits until the deadline for an engine that hangs, while two others
-    idle. Nothing was sent again before the attempt had ended.
+    Guards against waiting until the deadline for an engine that hangs while two others
+    are idle: a request was sent again only after its attempt had ended.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage())
     now = driver.train()
-    slow, actions, now = stuck(driver, now)
+    slow, actions, now = run_stuck_request(driver, now)
     (hedge,) = sends(actions)
     assert hedge.hedge
     assert hedge.endpoint != slow.endpoint
@@ -121,35 +125,35 @@
     assert Cancel(slow.attempt, slow.endpoint) in ending
 
 
-def test_a_stage_with_a_side_effect_is_never_hedged():
+def test_stage_with_a_side_effect_is_never_hedged():
     """
-    Two trucks come for one order. The first attempt was slow, not lost, and a
-    hedge ran it a second time.
+    Guards against a side effect that happens twice: the first attempt was slow and not
+    lost, and a hedge ran the stage a second time.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage(repeatable=False))
     now = driver.train()
-    _, actions, _ = stuck(driver, now)
+    _, actions, _ = run_stuck_request(driver, now)
     assert not sends(actions)
 
 
-def test_hedges_stop_when_their_budget_is_spent():
+def test_hedges_stay_within_their_budget():
     """
-    All engines become slow at once and each request is run twice, which keeps
-    them slow.
+    Guards against overload by hedges: if all engines become slow at the same time,
+    running each request twice keeps them slow.
     """
     driver = PlannerDriver(planner(endpoints("engine", 10)), one_stage())
     now = driver.train()
     for _ in range(60):
-        _, _, now = stuck(driver, now)
+        _, _, now = run_stuck_request(driver, now)
         driver.tick(now + 4.1)
         now += 10.0
     assert driver.planner.counters.hedges <= 16 + 0.05 * 100 + 1
 
 
-def test_a_stream_goes_on_elsewhere_where_it_stopped():
+def test_stream_resumes_at_another_endpoint():
     """
-    A tester sees the first half of a summary twice. The engine died in the middle
-    and the next one began at the beginning.
+    Guards against duplicate output: after an engine failed in the middle of a stream,
+    the next one started from the beginning.
     """
     driver = PlannerDriver(planner(endpoints("engine", 2)), one_stage(streams=True))
     (send,) = sends(driver.arrive(1.0))
@@ -159,10 +163,10 @@
     assert again.endpoint != send.endpoint
 
 
-def test_not_run_is_said_only_where_nothing_started():
+def test_not_run_is_reported_only_if_nothing_started():
     """
-    A dispatcher sends an order again because the first was "not run", and two
-    trucks come. The deadline passed while the first was under way.
+    Guards against a side effect that happens twice: the deadline passed during the
+    attempt, the refusal said "not run", and the caller sent the request again.
     """
     driver = PlannerDriver(planner(endpoints("engine", 2)), one_stage(repeatable=False))
     (send,) = sends(driver.arrive(1.0))
@@ -183,10 +187,10 @@
     assert refusal(ending).retry_after_s >= 1.0
 
 
-def test_a_lost_side_effect_is_asked_after_and_never_sent_again():
+def test_lost_side_effect_is_queried_and_never_sent_again():
     """
-    A ticket is assigned twice. The connection broke after the call had run, and
-    the entry sent it to another endpoint.
+    Guards against a side effect that happens twice: the connection was lost after the
+    call had run, and the entry sent it to another endpoint.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage(repeatable=False))
     (send,) = sends(driver.arrive(1.0))
@@ -200,21 +204,21 @@
     )
 
 
-def test_an_endpoint_that_left_is_asked_for_word_without_work():
+def test_leaving_endpoint_is_polled():
     """
-    A host is replaced under its old name and never used again until the entries
-    restart. It got no calls, so it sent no reply that told of its new start.
+    Guards against a host that is replaced under its old name and not used until the
+    entries restart: without calls it sent no replies, which announce its new start.
     """
     driver = PlannerDriver(planner(endpoints("engine", 2)), one_stage())
     driver.planner.load_report(1.0, "engine-0", report(leaving=True))
     assert PollLoad("engine-0") in driver.tick(4.0)
 
 
-def test_a_repeat_reaches_the_endpoint_that_it_is_bound_to_while_that_leaves():
+def test_bound_request_reaches_its_leaving_endpoint():
     """
-    A dispatcher repeats an order while its host is drained, and the entry breaks
-    off with an error of its own. The rule against new work for a leaving endpoint
-    also met the repeat, whose result only that endpoint has.
+    A repeated request is bound to an endpoint that is being drained, which is the only
+    one that has its result. The invariant against new work for a leaving endpoint was
+    applied to it, and the entry failed.
     """
     driver = PlannerDriver(planner(endpoints("engine", 3)), one_stage(repeatable=False))
     driver.planner.endpoint_leaving(1.0, "engine-1")
--- a/tests/policy/test_routes.py
+++ b/tests/policy/test_routes.py
@@ -1,8 +1,8 @@
-"""Which requests go first, by their accounts and routes."""
+"""Ranks of requests by the priorities of their accounts and routes."""
 
 from amaranthtally.policy import Account, CallKind, Route, request_rank
 
-FIRST_ACCOUNT, LATER_ACCOUNT = Account("a", 0), Account("b", 1)
+URGENT_ACCOUNT, OTHER_ACCOUNT = Account("a", 0), Account("b", 1)
 
 
 def route(priority):
@@ -13,27 +13,27 @@
     return [request_rank(route(priority), account) for priority, account in pairs]
 
 
-def test_routes_rank_among_accounts_of_one_priority():
+def test_route_priority_ranks_accounts_of_equal_priority():
     """
-    In a burst the kind that operators had put first was on time less often than all
-    others. Every account had the same priority, and the routes' did not count at all.
+    All accounts had the same priority, and those of the routes were ignored: the route
+    of the highest priority was on time less often in a burst than all others.
     """
-    found = ranks((0, LATER_ACCOUNT), (1, LATER_ACCOUNT), (2, LATER_ACCOUNT))
-    assert found == sorted(set(found))
+    ranked = ranks((0, OTHER_ACCOUNT), (1, OTHER_ACCOUNT), (2, OTHER_ACCOUNT))
+    assert ranked == sorted(set(ranked))
 
 
-def test_an_accounts_priority_goes_before_its_routes():
-    found = ranks((2, FIRST_ACCOUNT), (0, LATER_ACCOUNT))
-    assert found == sorted(set(found))
+def test_account_priority_precedes_route_priority():
+    ranked = ranks((2, URGENT_ACCOUNT), (0, OTHER_ACCOUNT))
+    assert ranked == sorted(set(ranked))
 
 
-def test_a_route_ranks_alone_where_its_caller_has_no_priority():
-    found = ranks((0, None), (0, LATER_ACCOUNT), (2, None), (2, Account("c")))
-    assert found[0] < found[1] < found[2] == found[3]
+def test_route_priority_replaces_a_missing_account_priority():
+    ranked = ranks((0, None), (0, OTHER_ACCOUNT), (2, None), (2, Account("c")))
+    assert ranked[0] < ranked[1] < ranked[2] == ranked[3]
 
 
-def test_priorities_that_mean_nothing_rank_last_and_fit_between_entries():
-    (strange,) = ranks((10**6, Account("d", 10**9)))
-    assert ranks((99, Account("e", 99))) == [strange]
-    assert strange < 2**16
+def test_priorities_are_clamped_and_ranks_fit_two_bytes():
+    (largest,) = ranks((10**6, Account("d", 10**9)))
+    assert ranks((99, Account("e", 99))) == [largest]
+    assert largest < 2**16
     assert ranks((-5, Account("f", -5))) == [0]
--- a/tests/policy/test_run_queue.py
+++ b/tests/policy/test_run_queue.py
@@ -1,10 +1,10 @@
-"""Which waiting call a sidecar runs next, and which never will."""
+"""The order in which a sidecar starts waiting calls, and which calls it drops."""
 
 from amaranthtally.policy import QueuedCall, RunQueue
 
 
 def busy_queue(limit=1, capacity=4, run_s=1.0):
-    """Return a queue that knows its run time and has every slot taken."""
+    """Return a queue with a known run time and all of its slots busy."""
     queue = RunQueue(limit, capacity)
     for serial in range(1000, 1030):
         queue.offer(0.0, QueuedCall(0, 1e9, serial))
@@ -16,11 +16,10 @@
     return queue
 
 
-def test_hopeless_work_is_dropped_and_not_started():
+def test_call_that_cannot_finish_in_time_is_dropped():
     """
-    A dispatcher gets an answer late, and everyone behind him does too. Each call
-    waits until its deadline is nearly over, then takes a slot and runs for nobody.
-    The queue ran whatever was first, however little time it had left.
+    Guards against late answers under load: the queue started calls whose remaining
+    time was too short, which occupied slots and delayed all calls behind them.
     """
     queue = busy_queue(run_s=1.0)
     late, fine = QueuedCall(0, 2.0, 1), QueuedCall(0, 9.0, 2)
@@ -32,10 +31,10 @@
     assert queue.next_call(1.5) == fine
 
 
-def test_hopeless_work_is_dropped_behind_a_higher_priority_too():
+def test_late_call_is_dropped_behind_a_higher_priority():
     """
-    A call of low priority is answered only when its caller has long gone. It
-    waited behind others in the order of the queue, where nobody looked at it.
+    Guards against refusals long after the deadline: only the call at the head of the
+    queue was checked, and calls of low priority are seldom there.
     """
     queue = busy_queue()
     urgent, late = QueuedCall(0, 9.0, 1), QueuedCall(5, 2.0, 2)
@@ -44,50 +43,50 @@
     assert queue.dropped(1.9) == [late]
 
 
-def test_it_says_when_its_next_call_can_not_end_in_time():
-    """Behind stuck calls one waits to its deadline, with no time to run elsewhere."""
+def test_next_drop_time_is_that_of_the_earliest_deadline():
+    """
+    Guards against a call that waits behind hanging ones until its deadline: no event
+    checked the queue, and no time was left to run the call elsewhere.
+    """
     queue = busy_queue(run_s=1.0)
     first, later = QueuedCall(5, 4.0, 1), QueuedCall(0, 9.0, 2)
-    assert queue.drops_at() is None
+    assert queue.next_drop_at() is None
     assert queue.offer(0.0, later)
     assert queue.offer(0.0, first)
-    at = queue.drops_at()
+    at = queue.next_drop_at()
     assert 2.9 < at < 3.1
     assert queue.dropped(at - 0.1) == []
     assert queue.dropped(at) == [first]
-    assert 7.9 < queue.drops_at() < 8.1
+    assert 7.9 < queue.next_drop_at() < 8.1
     queue.withdraw(later)
-    assert queue.drops_at() is None
+    assert queue.next_drop_at() is None
 
 
 def test_a_call_without_time_left_is_not_queued():
-    """
-    A retry comes with a tenth of a second left for a call of one second. Queued,
-    it would have its entry wait for a refusal that could be given at once.
-    """
+    """A call that would be dropped later can be refused immediately."""
     assert not busy_queue(run_s=1.0).offer(0.0, QueuedCall(0, 0.1, 1))
 
 
-def test_low_priority_makes_room_when_the_queue_is_full():
+def test_full_queue_evicts_a_call_of_lower_priority():
     """
-    A farmer's breakdown is refused while nightly summaries wait. The summaries
-    came first and filled the queue; a full queue refused whatever came next.
+    Guards against urgent calls that are refused while batch work fills the queue: a
+    full queue refused every new call.
     """
     queue = busy_queue(capacity=2)
-    summaries = [QueuedCall(5, 60.0, 1), QueuedCall(5, 50.0, 2)]
-    assert all(queue.offer(0.0, call) for call in summaries)
+    batch_calls = [QueuedCall(5, 60.0, 1), QueuedCall(5, 50.0, 2)]
+    assert all(queue.offer(0.0, call) for call in batch_calls)
     assert not queue.offer(0.0, QueuedCall(5, 40.0, 3))
-    breakdown = QueuedCall(0, 9.0, 4)
-    assert queue.offer(0.0, breakdown)
-    assert queue.dropped(0.0) == [summaries[0]]
+    urgent = QueuedCall(0, 9.0, 4)
+    assert queue.offer(0.0, urgent)
+    assert queue.dropped(0.0) == [batch_calls[0]]
     queue.finished(0.5, 0.5)
-    assert queue.next_call(0.5) == breakdown
+    assert queue.next_call(0.5) == urgent
 
 
-def test_fewer_calls_run_at_an_endpoint_that_fails_and_more_again_later():
+def test_concurrency_limit_follows_failures():
     """
-    An engine out of memory fails every batch, and is given the next full batch
-    at once. The limit was constant. Failures of one batch count as one sign.
+    Guards against a constant limit: an engine out of memory failed each full batch and
+    immediately got the next. Failures of one batch reduce the limit once.
     """
     queue = RunQueue(8, 100)
     for serial in range(8):
@@ -103,12 +102,12 @@
     assert queue.limit == 8
 
 
-def test_a_run_that_was_cut_off_teaches_nothing():
+def test_aborted_call_does_not_change_the_run_time():
     """
-    After a burst of cancels an endpoint seems fast, and hopeless work is kept.
-    A cancelled run was counted as a finished one, with the time until its cancel.
+    Guards against cancelled calls that count as finished ones: their short times made
+    the endpoint look fast, and calls were kept that could not finish in time.
     """
     queue = busy_queue(run_s=1.0)
-    queue.released()
+    queue.aborted()
     assert queue.service_s == 1.0
     assert queue.running == 0
--- a/tests/policy/test_streams.py
+++ b/tests/policy/test_streams.py
@@ -1,4 +1,4 @@
-"""What the chunks of a stream tell of its endpoint, and what is done about it."""
+"""Detection of slow streams and endpoints by the times between chunks."""
 
 from amaranthtally.policy import Cancel
 from tests.policy.support import (
@@ -12,23 +12,23 @@
 
 CHUNKS = 4
 CHUNK_S = 0.2
-SLOWER = 4.0
-LONG = 18
+SLOWDOWN = 4.0
+LONG_CHUNKS = 18
 
 
-def streaming(count=4):
-    """Return a feeder whose planner knows how fast chunks come, and the time."""
+def trained_driver(count=4):
+    """Return a driver whose planner has measured the chunk times, and the time."""
     driver = PlannerDriver(planner(endpoints("engine", count)), one_stage(streams=True))
     now = 1.0
     for _ in range(40):
         (send,) = sends(driver.arrive(now))
-        now = stream(driver, send, now, CHUNKS, CHUNK_S)
+        now = deliver_chunks(driver, send, now, CHUNKS, CHUNK_S)
         driver.reply(now, send, run_s=(CHUNKS + 1) * CHUNK_S)
     return driver, now
 
 
-def stream(driver, send, now, chunks, chunk_s, first=0):
-    """Let chunks of an attempt come; returns the time after them."""
+def deliver_chunks(driver, send, now, chunks, chunk_s, first=0):
+    """Deliver chunks of an attempt; returns the time after them."""
     for chunk in range(first + 1, first + chunks + 1):
         now += chunk_s
         driver.tick(now)
@@ -36,68 +36,68 @@
     return now
 
 
-def test_a_stream_that_flows_too_slowly_goes_on_elsewhere():
+def test_slow_stream_is_hedged():
     """
-    A farmer has read half of an assessment when the deadline cuts it off. Its
-    engine had become slow; as chunks still came, the stream passed for healthy.
+    Guards against streams that the deadline ends half-way: their engine had become
+    slow, and any stream whose chunks still arrived was regarded as healthy.
     """
-    driver, now = streaming()
+    driver, now = trained_driver()
     (slow,) = sends(driver.arrive(now))
     hedges = []
     for chunk in range(1, CHUNKS):
-        now += SLOWER * CHUNK_S
+        now += SLOWDOWN * CHUNK_S
         hedges.extend(sends(driver.tick(now)))
         driver.planner.progress(now, slow.attempt, chunk)
     (hedge,) = hedges
     assert hedge.hedge
     assert hedge.endpoint != slow.endpoint
 
-    passing = driver.planner.progress(now + 0.1, hedge.attempt, CHUNKS)
-    assert passing == [Cancel(slow.attempt, slow.endpoint)]
+    actions = driver.planner.progress(now + 0.1, hedge.attempt, CHUNKS)
+    assert actions == [Cancel(slow.attempt, slow.endpoint)]
     assert answered(driver.reply(now + 0.2, hedge, run_s=0.2))
 
 
-def test_a_stream_at_the_usual_pace_is_left_alone():
+def test_long_stream_at_usual_speed_is_not_hedged():
     """
-    Every long answer is generated twice at twice the cost. It ran for longer than
-    most, although its chunks came as fast as ever.
+    Guards against generating every long answer twice: its run time was longer than
+    most, although the time between its chunks was not.
     """
-    driver, now = streaming()
+    driver, now = trained_driver()
     (long,) = sends(driver.arrive(now))
-    for chunk in range(1, LONG):
+    for chunk in range(1, LONG_CHUNKS):
         now += CHUNK_S
         assert not sends(driver.tick(now))
         assert not driver.planner.progress(now, long.attempt, chunk)
-    assert answered(driver.reply(now, long, run_s=LONG * CHUNK_S))
+    assert answered(driver.reply(now, long, run_s=LONG_CHUNKS * CHUNK_S))
 
 
-def test_a_slow_engine_is_avoided_before_any_run_ends_there():
+def test_slow_engine_is_avoided_before_a_run_ends_there():
     """
-    A tenth of the requests of ten seconds is late. An engine had become slow, and
-    as its runs ended last it passed for fast until the first of them did.
+    An engine that had become slow was regarded as fast until its first run ended, and
+    the runs of slow engines end last: a tenth of the requests of ten seconds was late.
     """
-    driver, now = streaming()
+    driver, now = trained_driver()
     (slow,) = sends(driver.arrive(now))
-    stream(driver, slow, now, 3, SLOWER * CHUNK_S)
-    now += 3 * SLOWER * CHUNK_S
+    deliver_chunks(driver, slow, now, 3, SLOWDOWN * CHUNK_S)
+    now += 3 * SLOWDOWN * CHUNK_S
     driver.planner.caller_disconnected(now, slow.attempt.request_id)
     chosen = []
     for _ in range(20):
         (send,) = sends(driver.arrive(now))
         chosen.append(send.endpoint)
-        now = stream(driver, send, now, CHUNKS, CHUNK_S)
+        now = deliver_chunks(driver, send, now, CHUNKS, CHUNK_S)
         driver.reply(now, send, run_s=(CHUNKS + 1) * CHUNK_S)
     assert slow.endpoint not in chosen[:10]
 
 
-def test_an_engine_whose_next_chunk_is_overdue_is_avoided():
+def test_engine_with_an_overdue_chunk_is_avoided():
     """
-    A dozen requests follow the first one to an engine that has become slow. Its
-    second chunk, which showed that it was, came two seconds after the first.
+    An engine had become slow, which only the second chunk showed, two seconds after the
+    first. Until then a dozen more requests were sent there.
     """
-    driver, now = streaming()
+    driver, now = trained_driver()
     (slow,) = sends(driver.arrive(now))
-    now = stream(driver, slow, now, 1, CHUNK_S)
+    now = deliver_chunks(driver, slow, now, 1, CHUNK_S)
     for _ in range(4):
         now += CHUNK_S
         driver.tick(now)
@@ -106,17 +106,17 @@
     for _ in range(12):
         (send,) = sends(driver.arrive(now))
         chosen.append(send.endpoint)
-        now = stream(driver, send, now, CHUNKS, CHUNK_S)
+        now = deliver_chunks(driver, send, now, CHUNKS, CHUNK_S)
         driver.reply(now, send, run_s=(CHUNKS + 1) * CHUNK_S)
     assert slow.endpoint not in chosen
 
 
-def test_a_stream_that_never_begins_goes_on_elsewhere():
+def test_stream_without_chunks_is_hedged():
     """
-    A farmer waits for half of the deadline for a first word. The engine had been
-    frozen; as a call without a chunk passed for one that waits, nobody hedged it.
+    Guards against waiting half of the deadline for a first chunk: the engine hung, and
+    a call without chunks was always assumed to wait in a queue.
     """
-    driver, now = streaming()
+    driver, now = trained_driver()
     (frozen,) = sends(driver.arrive(now))
     hedges = []
     until = now + 4 * (CHUNKS + 1) * CHUNK_S
--- a/tests/policy_machines/run_queue_machine.py
+++ b/tests/policy_machines/run_queue_machine.py
@@ -63,7 +63,7 @@
     @rule()
     def call_is_cut_off(self):
         self.running.pop()
-        self.queue.released()
+        self.queue.aborted()
 
     @precondition(lambda self: self.running)
     @rule(run_s=st.sampled_from((0.0, 0.01, 1.0)), failed=st.booleans())
