--- a/packages/policy/src/amaranthtally/policy/piece_coordinator.py
+++ b/packages/policy/src/amaranthtally/policy/piece_coordinator.py
@@ -5,7 +5,7 @@
 
 from amaranthtally.policy.actions import Action, FreeAtPeer, ReportToPeer, SubmitToPeer
 from amaranthtally.policy.batcher import Batcher, Batches
-from amaranthtally.policy.first_event_times import DEFAULT_S
+from amaranthtally.policy.first_events import DEFAULT_S
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.model import Endpoint
 from amaranthtally.policy.piece_graph import Piece, PieceGraph, StoredResult
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -20,7 +20,7 @@
     LoadReport,
     PieceWork,
 )
-from amaranthtally.policy.first_event_times import FirstEventTimes
+from amaranthtally.policy.first_events import FirstEventTimes
 from amaranthtally.policy.groups import EndpointGroups
 from amaranthtally.policy.load_poller import LoadPoller
 from amaranthtally.policy.membership import Membership
--- a/tests/policy/test_first_event_times.py
+++ b/tests/policy/test_first_events.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from amaranthtally.policy.first_event_times import (
+from amaranthtally.policy.first_events import (
     DEFAULT_S,
     LONGEST_S,
     MAX_PIPELINES,
