--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -11,8 +11,8 @@
 from amaranthtally.policy.routing import Router
 from amaranthtally.policy.scoring import Choice, RouteRequest
 from amaranthtally.policy.stage_times import StageStats, StageTimes
-from amaranthtally.policy.stream_monitor import STUCK_FACTOR, StreamMonitor
-from amaranthtally.policy.stream_progress import StreamProgress
+from amaranthtally.policy.stream_watch import STUCK_FACTOR, StreamMonitor
+from amaranthtally.policy.streams import StreamProgress
 from amaranthtally.policy.timers import Timers
 
 __all__ = ["Dispatcher"]
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -34,7 +34,7 @@
 from amaranthtally.policy.prefixes import PrefixIndex
 from amaranthtally.policy.request_ledger import Counters, RequestLedger
 from amaranthtally.policy.requests import LiveAttempt, Request
-from amaranthtally.policy.stream_monitor import StreamMonitor
+from amaranthtally.policy.stream_watch import StreamMonitor
 from amaranthtally.policy.timers import Timer, Timers
 
 __all__ = ["Planner"]
--- a/packages/policy/src/amaranthtally/policy/requests.py
+++ b/packages/policy/src/amaranthtally/policy/requests.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.events import Arrival
 from amaranthtally.policy.model import AttemptId, Stage
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.stream_progress import StreamProgress
+from amaranthtally.policy.streams import StreamProgress
 
 __all__ = ["LiveAttempt", "Request"]
 
--- a/packages/policy/src/amaranthtally/policy/stream_monitor.py
+++ b/packages/policy/src/amaranthtally/policy/stream_watch.py
@@ -5,7 +5,7 @@
 from amaranthtally.policy.requests import LiveAttempt, Request
 from amaranthtally.policy.scoring import Choice
 from amaranthtally.policy.stage_times import StageStats, StageTimes
-from amaranthtally.policy.stream_progress import StreamProgress
+from amaranthtally.policy.streams import StreamProgress
 
 __all__ = ["STUCK_FACTOR", "StreamMonitor"]
 
