--- a/packages/policy/src/amaranthtally/policy/dispatch.py
+++ b/packages/policy/src/amaranthtally/policy/dispatch.py
@@ -266,7 +266,7 @@
         ran = max(0.0, now - attempt.sent_at - attempt.wait_s)
         longer_share = stats.tail(ran)
         # Far longer than nearly all runs: the endpoint is assumed to hang.
-        if stats.known and ran > STUCK_FACTOR * stats.p99_s:
+        if stats.has_enough_samples and ran > STUCK_FACTOR * stats.p99_s:
             return 1.0
         left = max(0.0, route_request.target_end - now)
         late_share = stats.tail(ran + left) / longer_share if longer_share else 0.0
--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -125,7 +125,7 @@
     @property
     def pieces_waiting(self) -> int:
         """Number of pieces that are queued here, for any entry's requests."""
-        return self._coordinator.batcher.waiting
+        return self._coordinator.batcher.queued_count
 
     @property
     def counters(self) -> Counters:
@@ -145,7 +145,7 @@
             self._membership.prepare(now, stage)
         decision = self._admission.decide(now, arrival)
         if decision.reason is None and arrival.piece_work is not None:
-            decision = self._inputs.judge(now, arrival, arrival.piece_work)
+            decision = self._inputs.decide(now, arrival, arrival.piece_work)
         if decision.reason is not None:
             self.counters.refused_on_arrival += 1
             return [
@@ -274,7 +274,7 @@
 
     def endpoint_restored(self, now: float, endpoint: str) -> list[Action]:
         """Use an endpoint again that had been marked as leaving."""
-        self._membership.mark_staying(now, endpoint)
+        self._membership.mark_restored(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
@@ -300,8 +300,8 @@
         and sends batches of pieces that have waited long enough.
         """
         self._accounts.refresh(now)
-        actions = self._membership.due_load_requests(now)
-        actions.extend(self._load_poller.due_load_requests(now))
+        actions = self._membership.due_polls(now)
+        actions.extend(self._load_poller.due_polls(now))
         actions.extend(self._inputs.free_fetched(now, self._ledger))
         actions.extend(self._apply_effects(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
