--- a/tests/policy_machines/__main__.py
+++ b/tests/policy_machines/__main__.py
@@ -1,7 +1,7 @@
 """
-Long runs of the machines: ``python -m tests.policy_machines --seed 1``.
+Long runs of the state machines: ``python -m tests.policy_machines --seed 1``.
 
-Prints what was run; a failure prints the steps that lead to it.
+Prints what was run; a failure prints the steps that reproduce it.
 """
 
 import argparse
@@ -11,18 +11,20 @@
 from hypothesis import HealthCheck, seed, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from tests.policy_machines.planner_machine import PlannerMachine, ThriftyMachine
+from tests.policy_machines.planner_machine import PlannerMachine, SmallReservesMachine
 from tests.policy_machines.run_queue_machine import RunQueueMachine
 
 MACHINES = {
     "planner": PlannerMachine,
-    "planner-thrifty": ThriftyMachine,
+    "planner-thrifty": SmallReservesMachine,
     "run-queue": RunQueueMachine,
 }
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description="Long runs of the policy's machines.")
+    parser = argparse.ArgumentParser(
+        description="Long runs of the policy's state machines."
+    )
     parser.add_argument("--seed", type=int, required=True)
     parser.add_argument("--machine", choices=sorted(MACHINES), action="append")
     parser.add_argument("--runs", type=int, default=1000)
--- a/tests/policy_machines/planner_machine.py
+++ b/tests/policy_machines/planner_machine.py
@@ -1,4 +1,4 @@
-"""Random events for a planner: arrivals, replies, losses, leavings, settings."""
+"""Random events for a planner: arrivals, replies, failures, drains, settings."""
 
 from dataclasses import replace
 from random import Random
@@ -49,7 +49,7 @@
 
 
 class PlannerMachine(RuleBasedStateMachine):
-    """Drives a planner and has the oracle judge each of its actions."""
+    """Feeds events to a planner, and has the oracle check its actions."""
 
     start = START
 
@@ -79,40 +79,44 @@
                 self.now + deadline_s,
                 prefix=(self.serial % 3, 7),
             )
-            self.oracle.arrives(arrival)
-            self.oracle.take(self.planner.request_arrived(self.now, arrival))
+            self.oracle.add_request(arrival)
+            self.oracle.check_actions(self.planner.request_arrived(self.now, arrival))
 
     @precondition(lambda self: self.oracle.live)
     @rule(index=indexes)
-    def caller_goes(self, index):
-        request_id = pick(list(self.oracle.live), index)
-        self.oracle.take(self.planner.caller_disconnected(self.now, request_id))
+    def caller_disconnects(self, index):
+        request_id = choose(list(self.oracle.live), index)
+        self.oracle.check_actions(
+            self.planner.caller_disconnected(self.now, request_id)
+        )
         tracked = self.oracle.live.pop(request_id)
-        assert not tracked.flights, "attempts are cancelled when the caller goes"
+        assert not tracked.attempts, (
+            "attempts are cancelled when the caller disconnects"
+        )
         self.oracle.ended.add(request_id)
 
     # Endpoints
 
-    @precondition(lambda self: self.oracle.flights())
+    @precondition(lambda self: self.oracle.attempts())
     @rule(index=indexes)
     def attempt_starts(self, index):
-        pick(self.oracle.flights(), index).started = True
+        choose(self.oracle.attempts(), index).started = True
 
-    @precondition(lambda self: self.oracle.flights())
+    @precondition(lambda self: self.oracle.attempts())
     @rule(index=indexes, run_s=seconds)
     def attempt_finishes(self, index, run_s):
         self.end(
             index, AttemptResult(AttemptOutcome.FINISHED, run_s=run_s, output_bytes=100)
         )
 
-    @precondition(lambda self: self.oracle.flights())
+    @precondition(lambda self: self.oracle.attempts())
     @rule(index=indexes, count=st.sampled_from((1, 10)))
     def attempts_finish(self, index, count):
         for _ in range(count):
-            if self.oracle.flights():
+            if self.oracle.attempts():
                 self.end(index, AttemptResult(AttemptOutcome.FINISHED, run_s=0.05))
 
-    @precondition(lambda self: self.oracle.flights())
+    @precondition(lambda self: self.oracle.attempts())
     @rule(
         index=indexes,
         count=st.sampled_from((1, 5, 60)),
@@ -130,25 +134,25 @@
     )
     def attempts_fail(self, index, count, result):
         for _ in range(count):
-            if self.oracle.flights():
+            if self.oracle.attempts():
                 self.end(index, result)
 
-    @precondition(lambda self: self.oracle.gone)
+    @precondition(lambda self: self.oracle.cancelled)
     @rule(index=indexes)
     def cancelled_attempt_replies_late(self, index):
-        flight = pick(self.oracle.gone, index)
+        sent = choose(self.oracle.cancelled, index)
         late = AttemptResult(AttemptOutcome.FINISHED, run_s=0.1)
-        assert self.planner.reply(self.now, flight.attempt, late) == []
+        assert self.planner.reply(self.now, sent.attempt, late) == []
 
-    @precondition(lambda self: self.oracle.flights())
+    @precondition(lambda self: self.oracle.attempts())
     @rule(index=indexes, chunks=st.integers(1, 9))
     def stream_progresses(self, index, chunks):
-        flight = pick(self.oracle.flights(), index)
-        flight.started = True
-        self.oracle.take(self.planner.progress(self.now, flight.attempt, chunks))
+        sent = choose(self.oracle.attempts(), index)
+        sent.started = True
+        self.oracle.check_actions(self.planner.progress(self.now, sent.attempt, chunks))
 
     @rule(name=names, busy=st.integers(0, 20), service_s=seconds, leaving=st.booleans())
-    def load_is_told(self, name, busy, service_s, leaving):
+    def load_is_reported(self, name, busy, service_s, leaving):
         leaving = leaving and busy % 4 == 0
         report = LoadReport(
             incarnation=self.incarnations[name],
@@ -161,43 +165,43 @@
         )
         if leaving and name in self.oracle.settings.endpoints:
             self.oracle.leaving.add(name)
-        self.oracle.take(self.planner.load_report(self.now, name, report))
+        self.oracle.check_actions(self.planner.load_report(self.now, name, report))
 
     @rule(name=names)
     def endpoint_leaves(self, name):
         if name in self.oracle.settings.endpoints:
             self.oracle.leaving.add(name)
-        self.oracle.take(self.planner.endpoint_leaving(self.now, name))
+        self.oracle.check_actions(self.planner.endpoint_leaving(self.now, name))
 
     @rule(name=names)
-    def endpoint_stays(self, name):
+    def endpoint_returns(self, name):
         self.oracle.leaving.discard(name)
-        self.oracle.take(self.planner.endpoint_restored(self.now, name))
+        self.oracle.check_actions(self.planner.endpoint_restored(self.now, name))
 
     @rule(name=names, serial=st.integers(1, 5), blocks=st.sets(st.integers(0, 8)))
     def cache_changes(self, name, serial, blocks):
         event = CacheEvent(serial, tuple(blocks), (serial,))
-        self.oracle.take(self.planner.cache_event(self.now, name, event))
+        self.oracle.check_actions(self.planner.cache_event(self.now, name, event))
 
     # Settings and time
 
     @rule(
-        gone=st.sets(names, max_size=4),
+        removed=st.sets(names, max_size=4),
         budget=st.sampled_from((0.0, 0.1, 0.5)),
         rate=st.sampled_from((0.0, 2.0)),
     )
-    def settings_change(self, gone, budget, rate):
+    def settings_change(self, removed, budget, rate):
         settings = replace(
             START,
             revision=self.oracle.settings.revision + 1,
-            endpoints={n: e for n, e in ENDPOINTS.items() if n not in gone},
+            endpoints={n: e for n, e in ENDPOINTS.items() if n not in removed},
             accounts={name: AccountLimits(rate=rate) for name in ACCOUNTS},
             retry_budget=budget,
             hedge_budget=budget,
         )
         self.oracle.settings = settings
-        self.oracle.leaving -= gone
-        self.oracle.take(self.planner.settings_changed(self.now, settings))
+        self.oracle.leaving -= removed
+        self.oracle.check_actions(self.planner.settings_changed(self.now, settings))
 
     @rule(passed_s=st.sampled_from((0.01, 0.1, 0.5, 2.0, 10.0)))
     def time_passes(self, passed_s):
@@ -205,33 +209,33 @@
         self.tick()
 
     @invariant()
-    def rest_holds(self):
-        self.oracle.check_rest(self.now, self.planner.in_flight)
+    def settled_state_is_valid(self):
+        self.oracle.check_settled(self.now, self.planner.in_flight)
 
     def teardown(self):
-        if self.oracle.broken:
+        if self.oracle.failed:
             return
         self.now += LONGEST_DEADLINE_S
         self.tick()
         assert not self.oracle.live, "every admitted request ends"
 
     def tick(self) -> None:
-        self.oracle.take(self.planner.tick(self.now))
-        self.oracle.check_ticked(self.now)
+        self.oracle.check_actions(self.planner.tick(self.now))
+        self.oracle.check_deadlines(self.now)
 
     def end(self, index: int, result: AttemptResult) -> None:
-        flight = pick(self.oracle.flights(), index)
-        if result.outcome is AttemptOutcome.NOT_RUN and flight.started:
+        sent = choose(self.oracle.attempts(), index)
+        if result.outcome is AttemptOutcome.NOT_RUN and sent.started:
             return
-        self.oracle.ends_attempt(flight, result.outcome)
-        self.oracle.take(self.planner.reply(self.now, flight.attempt, result))
+        self.oracle.record_end(sent, result.outcome)
+        self.oracle.check_actions(self.planner.reply(self.now, sent.attempt, result))
 
 
-class ThriftyMachine(PlannerMachine):
-    """The same with small reserves, so that budgets run out within a run."""
+class SmallReservesMachine(PlannerMachine):
+    """The same with small reserves, so that budgets are exhausted within a run."""
 
     start = replace(START, retry_reserve=4.0, hedge_reserve=2.0)
 
 
-def pick(found: list, index: int):
-    return found[index % len(found)]
+def choose(items: list, index: int):
+    return items[index % len(items)]
--- a/tests/policy_machines/run_queue_machine.py
+++ b/tests/policy_machines/run_queue_machine.py
@@ -1,4 +1,4 @@
-"""Random calls for a run queue: offered, started, finished, withdrawn."""
+"""Random operations on a run queue: offer, start, finish, abort, withdraw."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -15,7 +15,7 @@
 
 
 class RunQueueMachine(RuleBasedStateMachine):
-    """Each call offered is refused, started or withdrawn, and only one of them."""
+    """Checks that each call is refused, dropped, withdrawn or started, exactly once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
         left_s=st.sampled_from((0.01, 0.5, 4.0)),
         count=st.sampled_from((1, 5)),
     )
-    def calls_come(self, priority, left_s, count):
+    def calls_arrive(self, priority, left_s, count):
         for _ in range(count):
             self.serial += 1
             call = QueuedCall(priority, self.now + left_s, self.serial)
@@ -61,7 +61,7 @@
 
     @precondition(lambda self: self.running)
     @rule()
-    def call_is_cut_off(self):
+    def call_is_aborted(self):
         self.running.pop()
         self.queue.aborted()
 
@@ -76,7 +76,7 @@
         self.now += passed_s
 
     def take_dropped(self):
-        """Take the calls that never start; each was waiting until now."""
+        """Take the dropped calls; each must have been waiting."""
         for call in self.queue.dropped(self.now):
             assert self.waiting.pop(call.serial) == call, "a call is dropped once"
 
