--- a/packages/policy/src/amaranthtally/policy/accounts.py
+++ b/packages/policy/src/amaranthtally/policy/accounts.py
@@ -36,14 +36,14 @@
 
 class AccountShares:
     """
-    Tracks the work offered and admitted by account, and enforces rate limits.
-
-    Both decay exponentially with the time constant ``DECAY_S``. Under overload the
-    capacity, taken to be the admitted work, is divided by weighted max-min fairness:
-    an account that offers less than its share has all of it admitted, and the rest is
-    divided among the others by weight. The level of this division is computed only
-    twice a second, so that the cost of a decision does not grow with the number of
-    accounts.
+    Enforces the accounts' rate limits, and their fair shares under overload.
+
+    The work offered and the work admitted are tracked by account. Both decay
+    exponentially with the time constant ``DECAY_S``. Under overload the capacity, taken
+    to be the admitted work, is divided by weighted max-min fairness: an account that
+    offers less than its share has all of it admitted, and the rest is divided among the
+    others by weight. The level of this division is computed only twice a second, so
+    that the cost of a decision does not grow with the number of accounts.
     """
 
     def __init__(self) -> None:
--- a/packages/policy/src/amaranthtally/policy/run_queue.py
+++ b/packages/policy/src/amaranthtally/policy/run_queue.py
@@ -9,11 +9,10 @@
 
 __all__ = ["QueuedCall", "RunQueue"]
 
-# Number of run times needed before waiting calls are dropped as too late.
+# Quantile of run times that is the fast run time. It is first computed after
+# ``MIN_SAMPLES``, being 0 until then, and again after each ``REFRESH_SAMPLES``.
 MIN_SAMPLES = 20
-# Quantile of run times that a fast run takes.
 FAST_QUANTILE = 0.05
-# The fast run time is computed again after this many samples.
 REFRESH_SAMPLES = 16
 # Weight of a new sample in the smoothed run time.
 SERVICE_WEIGHT = 0.1
--- a/tests/policy_machines/test_machines.py
+++ b/tests/policy_machines/test_machines.py
@@ -26,8 +26,8 @@
     phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
-# The examples drawn depend on the modules that are loaded, so more are allowed until one
-# detects a mutant.
+# The examples drawn depend on the modules that are loaded: allow for more of them until
+# one detects a mutant.
 UNTIL_SEEN = settings(BOUNDED, max_examples=1000)
 
 
