--- a/packages/policy/src/amaranthtally/policy/at_most_once.py
+++ b/packages/policy/src/amaranthtally/policy/at_most_once.py
@@ -195,7 +195,7 @@
             return verdict
         self._expire(now)
         # Without a record of the withdrawal, a copy that arrives late would run after
-        # the caller has been told that the call did not run.
+        # the caller was answered that the call did not run.
         if key not in self._withdrawals and len(self._withdrawals) >= self._capacity:
             return CallVerdict.FULL
         self._withdrawals[key] = _Withdrawal(self.permit(key) + 1, now)
