--- a/packages/policy/src/amaranthtally/policy/outcome_recorder.py
+++ b/packages/policy/src/amaranthtally/policy/outcome_recorder.py
@@ -42,11 +42,11 @@
         them, a stage that has become slower than any deadline would keep its earlier,
         shorter run times.
         """
-        stats = self._times.stats_for(request.current)
+        stats = self._times.stats_for(request.current_stage)
         for attempt in request.live.values():
             run_s = now - attempt.sent_at - attempt.wait_s
             if run_s > stats.median_s:
-                stats.add(run_s, int(stats.output_bytes), attempt.beside)
+                stats.add(run_s, int(stats.output_bytes), attempt.concurrent)
             self._ejections.probe_inconclusive(attempt.endpoint)
 
     def attempt_failed(
@@ -61,7 +61,7 @@
             and (
                 result.retry_after_s > 0
                 or result.inputs_missing
-                or (load is not None and not load.accepts(request.current.model))
+                or (load is not None and not load.accepts(request.current_stage.model))
             )
         )
         if not_at_fault or load is None:
@@ -86,15 +86,19 @@
         load = self._loads.find(ended.endpoint)
         if load is None:
             return
-        stats = self._times.stats_for(request.current)
-        if stats.has_enough_samples and not ended.stream.pace_s:
-            load.note_run_time(now, result.run_s / stats.loaded_mean_s(ended.beside))
-        stats.add(result.run_s, result.output_bytes, ended.beside, ended.cached)
+        stats = self._times.stats_for(request.current_stage)
+        if stats.has_enough_samples and not ended.stream.chunk_time_s:
+            load.note_run_time(
+                now, result.run_s / stats.loaded_mean_s(ended.concurrent)
+            )
+        stats.add(
+            result.run_s, result.output_bytes, ended.concurrent, ended.cached_share
+        )
         round_trip_s = now - ended.sent_at - result.run_s - result.queued_s
-        if not ended.asks:
+        if not ended.queries:
             self._router.note_round_trip(load.endpoint.region, max(0.0, round_trip_s))
         self._membership.succeeded(now, load)
         # The index keeps few holders of each block: the endpoints of the other stages,
         # which cache nothing, would displace the engine before the prefix occurs again.
-        if request.arrival.prefix and request.current.caches_prefixes:
+        if request.arrival.prefix and request.current_stage.caches_prefixes:
             self._prefixes.add_run(now, ended.endpoint, request.arrival.prefix)
