--- a/packages/policy/src/amaranthtally/policy/ledger.py
+++ b/packages/policy/src/amaranthtally/policy/request_ledger.py
@@ -2,14 +2,21 @@
 
 from dataclasses import dataclass
 
-from amaranthtally.policy.actions import Action, Answer, Cancel, Outcome, Reason, Refuse
+from amaranthtally.policy.actions import (
+    Action,
+    Answer,
+    Cancel,
+    RefusalReason,
+    Refuse,
+    RequestOutcome,
+)
 from amaranthtally.policy.events import Arrival
 from amaranthtally.policy.invariants import ensure
 from amaranthtally.policy.loads import EndpointLoad, LoadTable
 from amaranthtally.policy.model import AttemptId
 from amaranthtally.policy.requests import LiveAttempt, Request
 
-__all__ = ["Counters", "Ledger"]
+__all__ = ["Counters", "RequestLedger"]
 
 
 @dataclass(slots=True)
@@ -28,7 +35,7 @@
     away: int = 0
 
 
-class Ledger:
+class RequestLedger:
     """Keeps requests, attempts and the sums that follow from them in step."""
 
     def __init__(self, loads: LoadTable) -> None:
@@ -74,15 +81,19 @@
         return Answer(request.id)
 
     def refused(
-        self, request: Request, reason: Reason, retry_after_s: float
+        self, request: Request, reason: RefusalReason, retry_after_s: float
     ) -> list[Action]:
         """End a request without an answer; its live attempts are cancelled."""
-        outcome = Outcome.NOT_RUN if request.nothing_started else Outcome.UNKNOWN
+        outcome = (
+            RequestOutcome.NOT_RUN
+            if request.nothing_started
+            else RequestOutcome.UNKNOWN
+        )
         cancels = self.cancel_all(request)
         # Nothing may be reported as not run on the word of a cancel: that is sent,
         # not confirmed, and the endpoint may have started by the time it comes.
         ensure(
-            outcome is Outcome.UNKNOWN or not cancels,
+            outcome is RequestOutcome.UNKNOWN or not cancels,
             "not_run is only said where nothing started",
         )
         self._close(request)
@@ -116,15 +127,15 @@
         request.sent += 1
         attempt_id = AttemptId(request.id, request.stage, request.number)
         request.live[attempt_id] = attempt
-        self._loads.sent(load)
-        load.reading += attempt.reading
+        self._loads.add_attempt(load)
+        load.pending_prefill_tokens += attempt.reading
         return attempt_id
 
     def ended(self, request: Request, attempt_id: AttemptId) -> LiveAttempt:
         """Note that an attempt has ended, or is no longer wanted."""
         attempt = request.live.pop(attempt_id)
         self.has_read(attempt)
-        self._loads.ended(attempt.endpoint, request.current.pool)
+        self._loads.remove_attempt(attempt.endpoint, request.current.pool)
         return attempt
 
     def has_read(self, attempt: LiveAttempt) -> None:
@@ -132,7 +143,9 @@
         load = self._loads.find(attempt.endpoint)
         if load is not None:
             # One that was forgotten and registered anew starts from 0 again.
-            load.reading = max(0, load.reading - attempt.reading)
+            load.pending_prefill_tokens = max(
+                0, load.pending_prefill_tokens - attempt.reading
+            )
         attempt.reading = 0
 
     def asked(
@@ -145,7 +158,7 @@
         attempt.asks += 1
         request.live[attempt_id] = attempt
         if load is not None:
-            self._loads.sent(load)
+            self._loads.add_attempt(load)
 
     def cancel_all(self, request: Request) -> list[Action]:
         """Cancel every live attempt of a request."""
