--- a/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -1,4 +1,4 @@
-"""Runs calls that may not be repeated, as the ledger decides."""
+"""Runs at-most-once calls and keeps their results, according to the call ledger."""
 
 import asyncio
 from collections import OrderedDict
@@ -22,36 +22,36 @@
 
 __all__ = ["CallRunner", "AtMostOnceCalls"]
 
-KEPT_OUTPUT_BYTES = 8 * 1024 * 1024
+MAX_OUTPUT_BYTES = 8 * 1024 * 1024
 NO_ID = CallId("", 0, 0)
 
 log = get_logger()
 
 
 class CallRunner(Protocol):
-    """The queue before the endpoint."""
+    """Queues calls, runs them at the endpoint and builds replies."""
 
     @property
     def clock_s(self) -> float:
-        """Seconds since this incarnation began."""
+        """Seconds since the start of this incarnation."""
 
     def refusal(self, call: StageCall) -> str:
-        """Return why a call is not taken now; empty where it is."""
+        """Return why a call is rejected, or an empty string if it is accepted."""
 
-    async def run_in_turn(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
-        """Queue a call, run it, and return its reply."""
+    async def run_queued(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
+        """Queue a call, run it when the queue starts it, and return its reply."""
 
-    def cancel_waiting(self, call_id: CallId) -> bool:
-        """Take a call out of the queue; false where it does not wait there."""
+    def cancel_queued(self, call_id: CallId) -> bool:
+        """Remove a call from the queue; return whether it was queued."""
 
     def load(self) -> Load:
-        """Return the present load."""
+        """Return the current load."""
 
     def not_run(self, call_id: CallId, reason: str) -> StageReply:
-        """Return the reply of a call that has not started."""
+        """Return a reply for a call that was not started."""
 
     def reply(self, call_id: CallId, status: Status, **fields: Any) -> StageReply:
-        """Return a reply with the present load."""
+        """Return a reply that carries the current load."""
 
 
 @dataclass(slots=True)
@@ -64,124 +64,129 @@
 
 
 class AtMostOnceCalls:
-    """One incarnation's calls that may not be repeated, with their results."""
+    """The at-most-once calls of one incarnation and their results."""
 
     def __init__(
-        self, ledger: CallLedger, handed: ReceivedHandovers, runner: CallRunner
+        self, ledger: CallLedger, received: ReceivedHandovers, runner: CallRunner
     ) -> None:
         self._ledger = ledger
-        self._handed = handed
+        self._received = received
         self._runner = runner
         self._records: dict[str, _Record] = {}
         self._running: dict[str, Waiters] = {}
         self._outputs: OrderedDict[str, int] = OrderedDict()
         self._output_bytes = 0
-        self._effects: set[asyncio.Task[None]] = set()
+        self._call_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
-        """Run a call, or give the reply of the one that ran under its key."""
+        """Run a call, or return the reply of the call that has run under its key."""
         now, key = self._runner.clock_s, call.call_key
         verdict = self._ledger.check(now, key, call.terms)
         if verdict is CallVerdict.KNOWN:
-            return await self._ended(call.id, key)
+            return await self._await_reply(call.id, key)
         if verdict is CallVerdict.OTHER_INCARNATION:
-            return self._handed_reply(call.id, key, call.terms)
+            return self._reply_from_handover(call.id, key, call.terms)
         refusal = self._runner.refusal(call)
         if verdict is CallVerdict.FRESH and refusal:
             return self._runner.not_run(call.id, refusal)
         verdict = self._ledger.open(now, key, call.terms)
         if verdict is not CallVerdict.FRESH:
-            return self._refuse(call.id, key, verdict)
-        self._forget_dropped()
+            return self._reply_to_verdict(call.id, key, verdict)
+        self._remove_expired()
         self._records[key] = _Record(call.id, Waiters(lambda: self._runner.clock_s))
-        # The task is the sidecar's own: an entry that dies or hangs up must not
+        # The call runs in a task of its own: an entry that dies or disconnects must not
         # cancel a call whose effect may already have happened.
-        task = asyncio.create_task(self._effect(call, on_chunk))
-        self._effects.add(task)
-        task.add_done_callback(self._effects.discard)
-        return await self._ended(call.id, key)
+        task = asyncio.create_task(self._run_call(call, on_chunk))
+        self._call_tasks.add(task)
+        task.add_done_callback(self._call_tasks.discard)
+        return await self._await_reply(call.id, key)
 
     def started(self, key: str) -> None:
-        """Note that a call goes to the endpoint."""
+        """Record that a call is about to be sent to the endpoint."""
         self._ledger.started(key)
         self._running[key] = self._records[key].waiters
 
     def abandoned(self, wait_s: float) -> int:
         """
-        Return how many running calls nobody has waited for in ``wait_s`` seconds.
+        Count the running calls that no entry has awaited for ``wait_s`` seconds.
 
-        A service may hang for good in a call, which nothing else would end: a stop
-        that waited for it would be killed, and every record lost with it.
+        A service may hang in a call for ever. A shutdown that waited for such a call
+        would end with the process being killed and all records lost.
         """
         return sum(waiters.abandoned_s > wait_s for waiters in self._running.values())
 
     async def query_outcome(
-        self, key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+        self, key: str, terms: AtMostOnceTerms, query: OutcomeQuery
     ) -> StageReply:
-        """Say what became of a call; one that never came is sealed, but by a look."""
+        """
+        Return the outcome of a call.
+
+        Unless ``query`` is ``POLL``, a call that was never received is withdrawn, so
+        that copies of it that arrive later are rejected.
+        """
         verdict = self._ledger.check(self._runner.clock_s, key, terms)
         if verdict is CallVerdict.KNOWN:
-            return await self._inquire_known(key, terms, inquiry)
+            return await self._query_known_call(key, terms, query)
         if verdict is CallVerdict.OTHER_INCARNATION:
-            return self._handed_reply(NO_ID, key, terms)
-        if verdict is CallVerdict.FRESH and inquiry is not OutcomeQuery.POLL:
-            return self._seal(key, terms)
-        return self._refuse(NO_ID, key, verdict)
+            return self._reply_from_handover(NO_ID, key, terms)
+        if verdict is CallVerdict.FRESH and query is not OutcomeQuery.POLL:
+            return self._withdraw(key, terms)
+        return self._reply_to_verdict(NO_ID, key, verdict)
 
-    # Planned stops
+    # Handovers at planned stops
 
     def take(self, handover: Handover) -> bool:
-        """Keep a stopped peer's records; false where there is no room for them."""
-        return self._handed.take(self._runner.clock_s, handover)
+        """Store a stopping peer's records; return false if there is no room."""
+        return self._received.take(self._runner.clock_s, handover)
 
     def handovers(self, endpoint: str, final: bool) -> list[Handover]:
         """
-        Return all records, once no call is taken any more.
+        Return all records; must be called once no new calls are accepted.
 
-        A call that has not ended is on record as unknown: its effect may come yet.
+        A call that has not ended gets the status unknown: its effect may still happen.
         """
         now = self._runner.clock_s
         calls = tuple(
-            self._handed_call(key)
+            self._handed_over_call(key)
             for key in self._records
             if self._ledger.state(key) is not None
         )
-        own = Handover(
+        own_records = Handover(
             endpoint, self._ledger.incarnation, now, self._ledger.ttl_s, calls, final
         )
-        return [own, *self._handed.export(now)]
+        return [own_records, *self._received.export(now)]
 
-    def _handed_call(self, key: str) -> HandedOverCall:
+    def _handed_over_call(self, key: str) -> HandedOverCall:
         record, fingerprint = self._records[key], self._ledger.fingerprint(key)
         if not record.reply.done():
-            reason = "its sidecar was stopped before it had ended"
+            reason = "its sidecar was stopped before the call had ended"
             return HandedOverCall(key, fingerprint, Status.UNKNOWN.value, b"", reason)
         reply = record.reply.result()
         return HandedOverCall(
             key, fingerprint, reply.status.value, reply.output, reply.reason
         )
 
-    def _handed_reply(
+    def _reply_from_handover(
         self, call_id: CallId, key: str, terms: AtMostOnceTerms
     ) -> StageReply:
-        verdict = self._handed.check(self._runner.clock_s, key, terms)
+        verdict = self._received.check(self._runner.clock_s, key, terms)
         if verdict is not CallVerdict.KNOWN:
-            return self._refuse(call_id, key, verdict)
-        call = self._handed.call(terms.incarnation, key)
+            return self._reply_to_verdict(call_id, key, verdict)
+        call = self._received.call(terms.incarnation, key)
         return self._runner.reply(
             call_id, Status(call.status), output=call.output, reason=call.reason
         )
 
-    # Steps
+    # Calls
 
-    async def _effect(self, call: StageCall, on_chunk: ChunkHandler) -> None:
+    async def _run_call(self, call: StageCall, on_chunk: ChunkHandler) -> None:
         key = call.call_key
         record = self._records[key]
         try:
-            reply = await self._runner.run_in_turn(call, on_chunk)
+            reply = await self._runner.run_queued(call, on_chunk)
         except Exception as error:
-            # Without a reply every repeat would wait for ever.
-            log.exception("call_broke", request_id=call.id.request_id)
+            # Without a reply every repeat of the call would wait for ever.
+            log.exception("call_task_failed", request_id=call.id.request_id)
             reply = self._runner.reply(
                 call.id, Status.UNKNOWN, reason=type(error).__name__
             )
@@ -194,42 +199,44 @@
             self._keep_output(key, len(reply.output))
         record.reply.set_result(reply)
 
-    async def _ended(self, call_id: CallId, key: str) -> StageReply:
+    async def _await_reply(self, call_id: CallId, key: str) -> StageReply:
         record = self._records[key]
         with record.waiters.join():
             reply = await asyncio.shield(record.reply)
         return replace(reply, id=call_id, load=self._runner.load())
 
-    async def _inquire_known(
-        self, key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+    async def _query_known_call(
+        self, key: str, terms: AtMostOnceTerms, query: OutcomeQuery
     ) -> StageReply:
         state = self._ledger.state(key)
-        if state is CallState.ENDED or inquiry is OutcomeQuery.WAIT:
-            return await self._ended(NO_ID, key)
-        withdraw = inquiry is OutcomeQuery.WITHDRAW and state is CallState.QUEUED
+        if state is CallState.ENDED or query is OutcomeQuery.WAIT:
+            return await self._await_reply(NO_ID, key)
+        withdraw = query is OutcomeQuery.WITHDRAW and state is CallState.QUEUED
         record = self._records[key]
-        if withdraw and self._runner.cancel_waiting(record.call_id):
+        if withdraw and self._runner.cancel_queued(record.call_id):
             await asyncio.shield(record.reply)
-            return self._seal(key, terms)
+            return self._withdraw(key, terms)
         return self._runner.reply(NO_ID, Status.UNKNOWN, reason="has not ended")
 
-    def _seal(self, key: str, terms: AtMostOnceTerms) -> StageReply:
+    def _withdraw(self, key: str, terms: AtMostOnceTerms) -> StageReply:
         verdict = self._ledger.withdraw(self._runner.clock_s, key, terms)
         if verdict is CallVerdict.FULL:
             reason = "too many withdrawals on record"
             return self._runner.reply(NO_ID, Status.UNKNOWN, reason=reason)
-        return self._refuse(NO_ID, key, verdict)
+        return self._reply_to_verdict(NO_ID, key, verdict)
 
-    def _refuse(self, call_id: CallId, key: str, verdict: CallVerdict) -> StageReply:
-        status, reason = _REFUSALS[verdict]
+    def _reply_to_verdict(
+        self, call_id: CallId, key: str, verdict: CallVerdict
+    ) -> StageReply:
+        status, reason = _VERDICT_REPLIES[verdict]
         if status is not Status.NOT_RUN:
             return self._runner.reply(call_id, status, reason=reason)
-        refused = self._runner.not_run(call_id, reason)
-        return replace(refused, permit=self._ledger.permit(key))
+        reply = self._runner.not_run(call_id, reason)
+        return replace(reply, permit=self._ledger.permit(key))
 
-    # Memory
+    # Stored results
 
-    def _forget_dropped(self) -> None:
+    def _remove_expired(self) -> None:
         while self._outputs:
             key = next(iter(self._outputs))
             if self._ledger.state(key) is not None:
@@ -240,17 +247,17 @@
     def _keep_output(self, key: str, size: int) -> None:
         self._output_bytes += size - self._outputs.pop(key, 0)
         self._outputs[key] = size
-        for oldest, kept in self._outputs.items():
-            if self._output_bytes <= KEPT_OUTPUT_BYTES:
+        for oldest, output_size in self._outputs.items():
+            if self._output_bytes <= MAX_OUTPUT_BYTES:
                 return
-            # The record stays, so that a repeat does not run; it gets no output.
-            self._output_bytes -= kept
+            # Keep the record without its output: a repeat of the call must not run.
+            self._output_bytes -= output_size
             self._outputs[oldest] = 0
-            self._replace_reply(oldest)
+            self._drop_output(oldest)
 
-    def _replace_reply(self, key: str) -> None:
-        known = self._records[key]
-        record = _Record(known.call_id, known.waiters)
+    def _drop_output(self, key: str) -> None:
+        previous = self._records[key]
+        record = _Record(previous.call_id, previous.waiters)
         reason = "the result is no longer kept"
         record.reply.set_result(
             self._runner.reply(record.call_id, Status.UNKNOWN, reason=reason)
@@ -258,12 +265,12 @@
         self._records[key] = record
 
 
-_REFUSALS = {
-    CallVerdict.FRESH: (Status.NOT_RUN, "never came"),
+_VERDICT_REPLIES = {
+    CallVerdict.FRESH: (Status.NOT_RUN, "never received"),
     CallVerdict.KNOWN: (Status.UNKNOWN, "has not ended"),
-    CallVerdict.CONFLICT: (Status.CONFLICT, "another input under the same key"),
+    CallVerdict.CONFLICT: (Status.CONFLICT, "the same key was used with another input"),
     CallVerdict.OTHER_INCARNATION: (Status.UNKNOWN, "bound to another incarnation"),
-    CallVerdict.EXPIRED: (Status.UNKNOWN, "bound too long ago"),
+    CallVerdict.EXPIRED: (Status.UNKNOWN, "binding has expired"),
     CallVerdict.WITHDRAWN: (Status.NOT_RUN, "withdrawn before start"),
     CallVerdict.FULL: (Status.NOT_RUN, "too many recent calls on record"),
 }
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine, sent only while a lease is known to hold."""
+"""Sends orders to a model engine, but only while the order lease is valid."""
 
 import time
 from collections.abc import AsyncIterator, Callable
@@ -19,27 +19,27 @@
 
 
 def boot_time() -> float:
-    """Return seconds of a clock that goes on while the machine is suspended."""
+    """Return the boot-time clock in seconds; it also counts while suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class OrderError(Exception):
-    """The engine did not take an order."""
+    """An order failed, or the engine's state could not be read."""
 
 
 class LeaseExpiredError(OrderError):
-    """Too little of the lease is left; nothing was sent."""
+    """Too little of the lease is left; the order was not sent."""
 
     def __init__(self) -> None:
-        super().__init__("lease lapsed before the order was sent; take a new one")
+        super().__init__("lease expired before the order was sent; acquire a new one")
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """A fencing number, and until when its lease surely holds, in boot seconds."""
+    """A fencing number, and the boot time until which its lease is certainly valid."""
 
     fencing: int
-    until: float
+    valid_until: float
 
 
 class _Order(msgspec.Struct):
@@ -57,7 +57,7 @@
 
 
 class EngineOrders:
-    """The order calls of one engine."""
+    """A client of one engine's order interface."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._clock = clock
 
     async def state(self) -> EngineModels:
-        """Return what the engine holds by its own word; raises ``OrderError``."""
+        """Return the models and role that the engine reports; raise ``OrderError``."""
         timeout = aiohttp.ClientTimeout(total=READ_TIMEOUT_S)
         try:
             async with self._session.get(
@@ -80,48 +80,53 @@
                 state = msgspec.json.decode(await response.read(), type=_EngineState)
         except (aiohttp.ClientError, TimeoutError, msgspec.DecodeError) as error:
             raise OrderError(
-                f"engine's state unread: {type(error).__name__}"
+                f"engine's state could not be read: {type(error).__name__}"
             ) from error
         return EngineModels(frozenset(state.models), state.role)
 
-    async def give(self, order: Order, grant: LeaseGrant) -> None:
-        """Give one order; raises ``OrderError``."""
-        body = msgspec.json.encode(_written(order, grant.fencing))
+    async def send(self, order: Order, grant: LeaseGrant) -> None:
+        """Send one order; raise ``OrderError`` if it fails."""
+        body = msgspec.json.encode(_to_message(order, grant.fencing))
         try:
             async with self._session.post(
                 f"{self._url}/v1/orders",
-                data=self._checked(body, grant),
+                data=self._checked_body(body, grant),
                 timeout=aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S),
             ) as response:
                 if response.status == CONFLICT:
-                    raise OrderError("engine knows a newer fencing number")
+                    raise OrderError("engine has seen a newer fencing number")
                 response.raise_for_status()
         except (aiohttp.ClientError, TimeoutError) as error:
             if isinstance(error.__cause__, LeaseExpiredError):
                 raise error.__cause__ from None
-            raise OrderError(f"order unanswered: {type(error).__name__}") from error
-
-    async def _checked(self, order: bytes, grant: LeaseGrant) -> AsyncIterator[bytes]:
-        # A holder that was paused between taking the lease and sending would give
-        # an old order after its successor's, and an engine that ignores numbers
-        # would obey. The body is made in the loop step that writes it, so the clock
-        # is read after any pause up to here; only a pause between this line and the
-        # write itself is not seen (docs/DESIGN.md).
-        if self._clock() + ORDER_TIMEOUT_S > grant.until:
+            raise OrderError(
+                f"no reply to the order: {type(error).__name__}"
+            ) from error
+
+    async def _checked_body(
+        self, order: bytes, grant: LeaseGrant
+    ) -> AsyncIterator[bytes]:
+        # A lease holder that was paused between acquiring the lease and sending would
+        # send an outdated order after its successor's, and an engine that ignores
+        # fencing numbers would execute it. The body is generated in the event loop
+        # step that writes it, so that the clock is read after any such pause. Only a
+        # pause between this check and the write itself goes undetected
+        # (docs/DESIGN.md).
+        if self._clock() + ORDER_TIMEOUT_S > grant.valid_until:
             raise LeaseExpiredError
         yield order
 
 
-def _written(order: Order, fencing: int) -> _Order:
+def _to_message(order: Order, fencing: int) -> _Order:
     match order:
         case Load(model):
-            return _of_model("load", model, fencing)
+            return _model_message("load", model, fencing)
         case Unload(model):
-            return _of_model("unload", model, fencing)
+            return _model_message("unload", model, fencing)
         case SetRole(role):
             return _Order(fencing, "role", role=role)
 
 
-def _of_model(action: str, model: str, fencing: int) -> _Order:
-    named = ModelReference.parse(model)
-    return _Order(fencing, action, named.base, named.adapter, named.version)
+def _model_message(action: str, model: str, fencing: int) -> _Order:
+    reference = ModelReference.parse(model)
+    return _Order(fencing, action, reference.base, reference.adapter, reference.version)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -1,4 +1,4 @@
-"""Runs stage calls at the endpoint, one decision at a time by the run queue."""
+"""Implements the sidecar protocol; runs stage calls in the run queue's order."""
 
 import asyncio
 import secrets
@@ -40,14 +40,15 @@
 
 INCARNATION_BITS = 63
 TOMBSTONE_CAPACITY = 10_000
-# A timer may ring by as much too early, in seconds; the call would not be dropped yet.
-DROP_SLACK_S = 0.001
+# Added to the timer that drops queued calls, in seconds: a timer may fire slightly
+# early, when the call can not be dropped yet.
+DROP_TIMER_MARGIN_S = 0.001
 
 log = get_logger()
 
 
 class StageHandler:
-    """The sidecar's side of the inner protocol."""
+    """The sidecar's implementation of the sidecar protocol."""
 
     def __init__(
         self,
@@ -67,7 +68,7 @@
         self._adapter = adapter_for(settings.endpoint_kind)
         self._incarnation = secrets.randbits(INCARNATION_BITS) | 1
         self._queue = RunQueue(settings.concurrency, settings.queue_capacity)
-        self._once = AtMostOnceCalls(
+        self._at_most_once = AtMostOnceCalls(
             CallLedger(
                 self._incarnation, settings.record_capacity, settings.record_ttl
             ),
@@ -77,51 +78,51 @@
         self._handover_keys = KeyRing(settings.handover_keys)
         self._tombstones = Tombstones(TOMBSTONE_CAPACITY)
         self._starts: dict[int, asyncio.Future[bool]] = {}
-        self._waiting: dict[CallId, QueuedCall] = {}
-        self._next_drop: asyncio.TimerHandle | None = None
+        self._queued: dict[CallId, QueuedCall] = {}
+        self._drop_timer: asyncio.TimerHandle | None = None
         self._serial = 0
-        self._leaving = False
+        self._stopping = False
         self._draining = False
         self._loop = asyncio.get_running_loop()
-        self._born = self._loop.time()
+        self._started_at = self._loop.time()
 
     @property
     def unfinished(self) -> int:
-        """Calls that a stop waits for; one without callers for a while is none."""
+        """Number of unfinished calls, without the running ones that were abandoned."""
         calls = self._queue.running + self._queue.queued
-        return calls - self._once.abandoned(self._settings.abandoned_wait)
+        return calls - self._at_most_once.abandoned(self._settings.abandoned_wait)
 
     @property
     def clock_s(self) -> float:
-        """Seconds since this incarnation began."""
-        return self._loop.time() - self._born
+        """Seconds since the start of this incarnation."""
+        return self._loop.time() - self._started_at
 
     def stop_accepting(self) -> None:
-        """Take no new work from now on."""
-        self._leaving = True
+        """Reject new work from now on."""
+        self._stopping = True
 
     def set_draining(self, draining: bool) -> None:
-        """Take no new work while the operators drain this host."""
+        """Reject new work while the host is being drained."""
         self._draining = draining
 
-    # Inner protocol
+    # Sidecar protocol
 
     async def hello(
         self, entry: str, revision: int, fetch: SettingsFetcher
     ) -> HelloReply:
-        """Greet an entry."""
+        """Accept an entry and add it as a source of settings."""
         log.info("entry_connected", entry=entry, revision=revision)
         self._sync.add_source(entry, revision, fetch)
         return HelloReply(self._settings.endpoint, self.load())
 
     def load(self) -> Load:
-        """Return the present load."""
+        """Return the current load."""
         return Load(
             incarnation=self._incarnation,
             running=self._queue.running,
             queued=self._queue.queued,
             limit=self._queue.limit,
-            leaving=self._leaving or self._draining,
+            leaving=self._stopping or self._draining,
             service_s=self._queue.service_s,
             backlog_s=self._queue.backlog_s,
             clock_s=self.clock_s,
@@ -130,88 +131,93 @@
         )
 
     def changes_since(self, revision: int) -> SettingsDelta:
-        """Return the settings changes known here after ``revision``."""
+        """Return this process's settings changes after ``revision``."""
         return self._sync.changes_since(revision)
 
     def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
-        """Hear of a peer's revision and return one's own."""
+        """Receive a peer's settings revision and return this process's revision."""
         self._sync.heard(revision, fetch)
         return self._sync.revision
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
-        """Run a stage call, or say that it was not run."""
+        """Run a stage call, or return the reason why it was not run."""
         self._sync.heard(call.revision)
-        reply = await self._run(self._models.named(call), on_chunk)
+        reply = await self._run(self._models.with_default_model(call), on_chunk)
         self._metrics.call_ended(reply)
         if self._cache is None:
             return reply
         return replace(reply, cache=self._cache.update_since(call.cache_serial))
 
     async def cancel(self, call_id: CallId) -> StageReply:
-        """Cancel a call that has not started; a late copy of it is refused."""
+        """Cancel a call that has not started; reject copies of it that arrive later."""
         self._tombstones.add(call_id)
-        if self.cancel_waiting(call_id):
+        if self.cancel_queued(call_id):
             return self.not_run(call_id, "cancelled before start")
-        return self.reply(call_id, Status.UNKNOWN, reason="not waiting")
+        return self.reply(call_id, Status.UNKNOWN, reason="not queued")
 
     async def query_outcome(
-        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+        self, call_key: str, terms: AtMostOnceTerms, query: OutcomeQuery
     ) -> StageReply:
-        """Say what became of a call that may not be repeated."""
-        return await self._once.query_outcome(call_key, terms, inquiry)
+        """Return the outcome of an at-most-once call."""
+        return await self._at_most_once.query_outcome(call_key, terms, query)
 
     async def hand_over(self, body: bytes, signature: bytes) -> bool:
-        """Take a stopping peer's records; false where they are not kept."""
-        if self._leaving:
+        """Store a stopping peer's records; return whether they were stored."""
+        if self._stopping:
             return False
         handover = read_handover(body, signature, self._handover_keys)
-        return handover is not None and self._once.take(handover)
+        return handover is not None and self._at_most_once.take(handover)
 
     def handovers(self, final: bool) -> list[Handover]:
-        """Return the records to hand on, once it has left; ``final`` as it ends."""
-        return self._once.handovers(self._settings.endpoint, final)
+        """
+        Return the records to hand over once no new work is accepted.
+
+        ``final`` is true for the last handover before the process exits.
+        """
+        return self._at_most_once.handovers(self._settings.endpoint, final)
 
     # Calls
 
     async def _run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         if not call.repeatable:
-            return await self._once.run(call, on_chunk)
+            return await self._at_most_once.run(call, on_chunk)
         refusal = self.refusal(call)
         if refusal:
             return self.not_run(call.id, refusal)
-        return await self.run_in_turn(call, on_chunk)
+        return await self.run_queued(call, on_chunk)
 
     def refusal(self, call: StageCall) -> str:
-        """Return why a call is not taken now; empty where it is."""
-        if self._leaving or self._draining:
+        """Return why a call is rejected, or an empty string if it is accepted."""
+        if self._stopping or self._draining:
             return "leaving"
         if call.id in self._tombstones:
             return "cancelled before start"
-        late = 0 < call.terms.expires_s < self.clock_s
-        if call.remaining_s <= 0 or late:
+        expired = 0 < call.terms.expires_s < self.clock_s
+        if call.remaining_s <= 0 or expired:
             return "deadline passed"
         return self._models.refusal(call.model)
 
-    def cancel_waiting(self, call_id: CallId) -> bool:
-        """Take a call out of the queue; false where it does not wait there."""
-        waiting = self._waiting.get(call_id)
-        if waiting is None:
+    def cancel_queued(self, call_id: CallId) -> bool:
+        """Remove a call from the queue; return whether it was queued."""
+        queued = self._queued.get(call_id)
+        if queued is None:
             return False
-        # One that has been let start still waits for its task to be scheduled.
-        start = self._starts.pop(waiting.serial, None)
+        # A call that the queue has started stays in ``_queued`` until its task runs,
+        # but is no longer in ``_starts``.
+        start = self._starts.pop(queued.serial, None)
         if start is None:
             return False
         self._tombstones.add(call_id)
-        self._queue.withdraw(waiting)
+        self._queue.withdraw(queued)
         start.cancel()
         return True
 
-    async def run_in_turn(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
-        """Queue a call, run it in its turn, and return its reply."""
+    async def run_queued(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
+        """Queue a call, run it when the queue starts it, and return its reply."""
         with self._models.use(call.model):
-            return await self._run_in_turn(call, on_chunk)
+            return await self._run_queued(call, on_chunk)
 
-    async def _run_in_turn(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
+    async def _run_queued(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         arrived = self._loop.time()
         self._serial += 1
         queued = QueuedCall(call.priority, arrived + call.remaining_s, self._serial)
@@ -219,7 +225,7 @@
             return self.not_run(call.id, "queue full, or too little time left")
         start = self._loop.create_future()
         self._starts[queued.serial] = start
-        self._waiting[call.id] = queued
+        self._queued[call.id] = queued
         self._start_next()
         try:
             may_start = await start
@@ -229,16 +235,18 @@
             self._leave_queue(queued)
             raise
         finally:
-            self._waiting.pop(call.id, None)
+            self._queued.pop(call.id, None)
         if not may_start:
-            return self.not_run(call.id, "dropped: it could not end in time")
+            return self.not_run(call.id, "dropped: can not finish before its deadline")
         if not call.repeatable:
-            self._once.started(call.call_key)
-        # What the call may take is what is left of it now: counted from its arrival,
-        # one that had waited behind stuck calls was given up only after its deadline,
-        # with no time left to run it elsewhere.
-        left_s = queued.deadline - self._loop.time()
-        return await self._run_now(replace(call, remaining_s=left_s), on_chunk, arrived)
+            self._at_most_once.started(call.call_key)
+        # The time-out is the time that remains now. If it were counted from the call's
+        # arrival, a call that had queued behind stuck calls would time out only after
+        # its deadline, with no time left for a retry elsewhere.
+        time_left_s = queued.deadline - self._loop.time()
+        return await self._run_now(
+            replace(call, remaining_s=time_left_s), on_chunk, arrived
+        )
 
     async def _run_now(
         self, call: StageCall, on_chunk: ChunkHandler, arrived: float
@@ -248,24 +256,24 @@
             self._session, self._settings.endpoint_url, call, on_chunk, self._cache
         )
         try:
-            end = await call_endpoint(self._adapter, target)
+            result = await call_endpoint(self._adapter, target)
         except BaseException:
             self._queue.released()
             self._start_next()
             raise
-        if end.model_missing:
-            self._models.missed(call.model)
+        if result.model_missing:
+            self._models.note_missing(call.model)
         ended = self._loop.time()
-        self._queue.finished(ended, ended - started, end.overloaded)
+        self._queue.finished(ended, ended - started, result.overloaded)
         self._start_next()
         return self.reply(
             call.id,
-            end.status,
-            output=end.output,
-            reason=end.reason,
+            result.status,
+            output=result.output,
+            reason=result.reason,
             queued_s=started - arrived,
             run_s=ended - started,
-            permanent=end.permanent,
+            permanent=result.permanent,
         )
 
     # Queue
@@ -276,21 +284,24 @@
             self._starts.pop(dropped.serial).set_result(False)
         while (queued := self._queue.next_call(now)) is not None:
             self._starts.pop(queued.serial).set_result(True)
-        self._wake_for_next_drop()
+        self._schedule_next_drop()
 
-    def _wake_for_next_drop(self) -> None:
+    def _schedule_next_drop(self) -> None:
         """
-        Look at the queue again when its next call can't end in time any more.
+        Set a timer for when the next queued call can no longer finish in time.
 
-        While every slot is stuck nothing else would. Told at its deadline, the entry
-        could not run the call elsewhere, nor say in time that it did not run.
+        While all slots are stuck, nothing else triggers a look at the queue. If the
+        entry learned of the drop only at the deadline, it could neither run the call
+        elsewhere nor report in time that it was not run.
         """
-        if self._next_drop is not None:
-            self._next_drop.cancel()
-        at = self._queue.drops_at()
-        self._next_drop = None
-        if at is not None:
-            self._next_drop = self._loop.call_at(at + DROP_SLACK_S, self._start_next)
+        if self._drop_timer is not None:
+            self._drop_timer.cancel()
+        drop_at = self._queue.drops_at()
+        self._drop_timer = None
+        if drop_at is not None:
+            self._drop_timer = self._loop.call_at(
+                drop_at + DROP_TIMER_MARGIN_S, self._start_next
+            )
 
     def _leave_queue(self, queued: QueuedCall) -> None:
         if self._starts.pop(queued.serial, None) is not None:
@@ -302,7 +313,7 @@
     # Replies
 
     def not_run(self, call_id: CallId, reason: str) -> StageReply:
-        """Return the reply of a call that has not started."""
+        """Return a reply for a call that was not started."""
         return self.reply(
             call_id,
             Status.NOT_RUN,
@@ -311,5 +322,5 @@
         )
 
     def reply(self, call_id: CallId, status: Status, **fields: Any) -> StageReply:
-        """Return a reply with the present load."""
+        """Return a reply that carries the current load."""
         return StageReply(id=call_id, status=status, load=self.load(), **fields)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
@@ -1,4 +1,4 @@
-"""Hands a stopping sidecar's records to its peers."""
+"""Hands the records of at-most-once calls from a stopping sidecar to its peers."""
 
 import asyncio
 from collections.abc import Iterable, Iterator
@@ -16,7 +16,7 @@
 
 __all__ = ["endpoints_of", "hand_over", "read_handover"]
 
-COPIES = 2
+COPY_COUNT = 2
 CONNECT_TIMEOUT_S = 0.5
 SEND_TIMEOUT_S = 2.0
 HANDOVER_TIMEOUT_S = 5.0
@@ -28,10 +28,10 @@
     handovers: Iterable[Handover], sender: str, endpoints: list[Endpoint], keys: KeyRing
 ) -> None:
     """
-    Give each set of records to two peers of the endpoint that it comes from.
+    Send each set of records to two peers of the endpoint that it comes from.
 
-    A stop is not held up by peers that can't be reached: their turn goes to the
-    next, and repeats hear ``unknown`` where none is left.
+    Unreachable peers do not delay the shutdown: the next peer in rank is used instead.
+    If no peer accepts the records, repeats of the calls are answered with ``unknown``.
     """
     if not keys:
         log.warning("handover_skipped", cause="no handover_keys in the settings")
@@ -39,7 +39,10 @@
     with suppress(TimeoutError):
         async with asyncio.timeout(HANDOVER_TIMEOUT_S):
             await asyncio.gather(
-                *(_hand_over_one(one, sender, endpoints, keys) for one in handovers)
+                *(
+                    _hand_over_one(handover, sender, endpoints, keys)
+                    for handover in handovers
+                )
             )
 
 
@@ -48,15 +51,15 @@
 ) -> None:
     ranked = rank_successors(handover.incarnation, handover.endpoint, endpoints)
     peers = iter([peer for peer in ranked if peer.id != sender])
-    # Two at a time: a frozen peer uses up its own turn, not that of the others.
-    taken = await asyncio.gather(
-        *(_send_to_next(handover, peers, keys) for _ in range(COPIES))
+    # The copies are sent concurrently, so that a frozen peer delays only one of them.
+    stored = await asyncio.gather(
+        *(_send_to_next(handover, peers, keys) for _ in range(COPY_COUNT))
     )
     log.info(
         "records_handed_over",
         endpoint=handover.endpoint,
         calls=len(handover.calls),
-        copies=sum(taken),
+        copies=sum(stored),
         final=handover.final,
     )
 
@@ -70,14 +73,16 @@
                 if await _send(handover, peer, keys):
                     return True
         except TimeoutError:
-            log.warning("handover_failed", peer=peer.id, cause="no answer in time")
+            log.warning(
+                "handover_failed", peer=peer.id, cause="no reply before the time-out"
+            )
     return False
 
 
 def read_handover(body: bytes, signature: bytes, keys: KeyRing) -> Handover | None:
-    """Return what a peer handed over; ``None`` where no key of ours signed it."""
+    """Decode a peer's handover; return ``None`` if no configured key has signed it."""
     if not keys.accepts(body, signature):
-        log.error("handover_refused", cause="its signature; compare handover_keys")
+        log.error("handover_refused", cause="invalid signature; compare handover_keys")
         return None
     return msgspec.msgpack.decode(body, type=Handover)
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -1,4 +1,4 @@
-"""Brings the engine's models to what the operators want, one holder at a time."""
+"""Reconciles an engine's models with the settings, guarded by a lease per order."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -33,25 +33,26 @@
 __all__ = ["ModelReconciler"]
 
 RETRY_S = 0.5
-# An order of a paused former holder may have undone ours: look again now and then.
-RECONCILE_S = 15.0
+# Interval of the periodic check, in seconds: a late order of a previous lease holder
+# may have undone an order of this process.
+RECONCILE_INTERVAL_S = 15.0
 
 log = get_logger()
 
 
 class ModelReconciler:
-    """Plans the orders of one engine anew after each of them, and gives them."""
+    """Plans the orders to one engine and sends them; plans again after each step."""
 
     def __init__(
         self,
         settings: SidecarSettings,
         session: aiohttp.ClientSession,
-        served: ServedModels,
+        models: ServedModels,
         announce: Callable[[], Awaitable[None]],
     ) -> None:
         self._settings = settings
         self._session = session
-        self._served = served
+        self._models = models
         self._announce = announce
         self._engine = EngineOrders(session, settings.endpoint_url)
         self._lease = OrderLease(
@@ -60,74 +61,75 @@
             settings.order_lease_ttl,
         )
         self._tree = Tree()
-        self._wanted = DesiredModels()
+        self._desired = DesiredModels()
         self._retry_s = RETRY_S
 
     def settings_changed(self, tree: Tree) -> None:
-        """Take the models and the role of this endpoint's registration."""
+        """Read the desired models and role from this endpoint's registration."""
         self._tree = tree
         table = tree.get(Scope(), ENDPOINT_PREFIX + self._settings.endpoint) or {}
-        wanted = DesiredModels(
+        desired = DesiredModels(
             tuple(table.get("models", ())),
             table.get("role", Role.BOTH.value),
             table.get("model_slots", 0),
         )
-        if wanted != self._wanted:
-            self._wanted = wanted
-            self._served.want(wanted)
+        if desired != self._desired:
+            self._desired = desired
+            self._models.set_desired(desired)
 
     async def run(self) -> None:
-        """Bring the engine to what is wanted, again and again; never returns."""
+        """Reconcile the engine's models repeatedly; never returns."""
         while True:
             wait_s = await self._reconcile()
             with suppress(TimeoutError):
                 async with asyncio.timeout(wait_s * uniform(0.75, 1.25)):
-                    await self._served.news.wait()
-            self._served.news.clear()
+                    await self._models.changed.wait()
+            self._models.changed.clear()
 
     async def _reconcile(self) -> float:
-        """Take the next step; return after how many seconds to look again."""
+        """Execute the next step; return the seconds until the next check."""
         try:
             plan = await self._plan()
         except OrderError as error:
             return self._failed(str(error))
-        done = [await self._try(order) for order in plan.orders]
-        if done:
-            await self._look_again()
-        if not all(done):
+        succeeded = [await self._try(order) for order in plan.orders]
+        if succeeded:
+            await self._refresh_served()
+        if not all(succeeded):
             return self._retry_s
         self._retry_s = RETRY_S
-        # An engine's word of what it holds may lag behind an order.
-        return RETRY_S if done or plan.pending else RECONCILE_S
+        # The state that an engine reports may lag behind an order.
+        return RETRY_S if succeeded or plan.pending else RECONCILE_INTERVAL_S
 
-    async def _look_again(self) -> None:
-        """Answer what an order has loaded without waiting for the next step."""
-        before = self._served.answered
+    async def _refresh_served(self) -> None:
+        """Serve a model that was just loaded without waiting for the next step."""
+        before = self._models.served
         with suppress(OrderError):
-            self._served.heard(await self._engine.state())
-        if self._served.answered != before:
+            self._models.set_loaded(await self._engine.state())
+        if self._models.served != before:
             await self._announce()
 
     async def _plan(self) -> ModelPlan:
-        held = await self._engine.state()
-        before = self._served.answered
-        self._served.heard(held)
+        loaded = await self._engine.state()
+        before = self._models.served
+        self._models.set_loaded(loaded)
         plan = plan_model_orders(
-            self._wanted,
-            held,
-            self._served.use_of_models(self._needed(held)),
+            self._desired,
+            loaded,
+            self._models.usage(self._required(loaded)),
             self._settings.unload_wait + longest_deadline_s(self._tree),
         )
-        self._served.follow(plan)
+        self._models.apply(plan)
         if plan.blocked_reason:
-            self._note(f"{plan.blocked_reason}; raise model_slots or take a model off")
-        if self._served.answered != before:
+            self._note(f"{plan.blocked_reason}; raise model_slots or remove a model")
+        if self._models.served != before:
             await self._announce()
         return plan
 
-    def _needed(self, held: EngineModels) -> frozenset[str]:
-        # Costs a walk of the whole tree: only where a model might be unloaded.
-        if held.models <= frozenset(self._wanted.models):
+    def _required(self, loaded: EngineModels) -> frozenset[str]:
+        # This walks the whole settings tree, so it is done only if a model may have to
+        # be unloaded.
+        if loaded.models <= frozenset(self._desired.models):
             return frozenset()
         return needed_models(self._tree, self._settings.endpoint)
 
@@ -135,14 +137,14 @@
 
     async def _try(self, order: Order) -> bool:
         try:
-            await self._give(order)
+            await self._execute(order)
         except (OrderError, WeightsError, LeaseNotHeldError) as error:
-            self._failed(f"{_words(order)} failed: {error}")
+            self._failed(f"{_text(order)} failed: {error}")
             return False
         return True
 
-    async def _give(self, order: Order) -> None:
-        wanted, revision = self._wanted, self._tree.revision
+    async def _execute(self, order: Order) -> None:
+        desired, revision = self._desired, self._tree.revision
         if isinstance(order, Load):
             await copy_weights(
                 self._session,
@@ -151,42 +153,42 @@
                 order.model,
             )
         async with self._lease.hold(revision) as grant:
-            # Whoever held the lease before may have given the order meanwhile, and
-            # the operators may want something else by now.
-            done = _is_done(order, await self._engine.state())
-            if done or self._wanted != wanted:
+            # The previous lease holder may have executed the order in the meantime, and
+            # the settings may have changed.
+            is_done = _is_done(order, await self._engine.state())
+            if is_done or self._desired != desired:
                 return
-            await self._engine.give(order, grant)
-        log.info("model_ordered", **_fields(order), fencing=grant.fencing)
-        self._note(f"{_words(order)}: done")
+            await self._engine.send(order, grant)
+        log.info("model_ordered", **_log_fields(order), fencing=grant.fencing)
+        self._note(f"{_text(order)}: done")
 
     # Outcomes
 
     def _failed(self, cause: str) -> float:
-        self._retry_s = min(RECONCILE_S, 2 * self._retry_s)
+        self._retry_s = min(RECONCILE_INTERVAL_S, 2 * self._retry_s)
         log.warning("model_order_failed", cause=cause)
         self._note(cause)
         return self._retry_s
 
     def _note(self, outcome: str) -> None:
-        self._served.last_order = outcome
+        self._models.last_order = outcome
 
 
-def _is_done(order: Order, held: EngineModels) -> bool:
+def _is_done(order: Order, loaded: EngineModels) -> bool:
     match order:
         case Load(model):
-            return model in held.models
+            return model in loaded.models
         case Unload(model):
-            return model not in held.models
+            return model not in loaded.models
         case SetRole(role):
-            return role == held.role
+            return role == loaded.role
 
 
-def _words(order: Order) -> str:
-    return " ".join(_fields(order).values())
+def _text(order: Order) -> str:
+    return " ".join(_log_fields(order).values())
 
 
-def _fields(order: Order) -> dict[str, str]:
+def _log_fields(order: Order) -> dict[str, str]:
     match order:
         case Load(model):
             return {"order": "load", "model": model}
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
@@ -1,4 +1,4 @@
-"""The lease and the fencing number under which one order is given."""
+"""The lease and the fencing number that protect an order to an engine."""
 
 import secrets
 from collections.abc import AsyncIterator
@@ -16,16 +16,16 @@
 ValueT = TypeVar("ValueT")
 KEY_PREFIX = "orders/"
 HOLDER_BYTES = 8
-# The platform counts the TTL from when it made the session, this process from
-# before it asked: the margin is for clocks that run at different rates.
+# The platform counts the TTL from the creation of the session, this process from before
+# its request. The margin covers clocks that run at different rates.
 MARGIN_SHARE = 0.1
 
 
 class _Fence(msgspec.Struct, frozen=True):
     """
-    The value of an endpoint's key: its last fencing number, and who took it.
+    The value of an endpoint's key: the last fencing number and its holder.
 
-    ``revision`` is that of the settings that the order was to bring about.
+    ``revision`` is the revision of the settings that the holder's order implements.
     """
 
     fencing: int = 0
@@ -34,15 +34,15 @@
 
 
 class LeaseNotHeldError(Exception):
-    """Another process holds the lease, or the platform cannot be reached."""
+    """Another process holds the lease, or the platform can not be reached."""
 
 
 class OrderLease:
     """
-    Takes a lease for one order, with a fencing number that only rises.
+    Acquires a lease for each order, with a monotonically increasing fencing number.
 
-    The platform is written to for an order alone: a lease held for ever by each of
-    11,000 sidecars would take more renewals than it can bear.
+    The platform is written to only when there is an order: leases held permanently by
+    11,000 sidecars would need more renewals than it can handle.
     """
 
     def __init__(self, leases: LeaseClient, endpoint: str, ttl: float) -> None:
@@ -53,48 +53,52 @@
 
     @asynccontextmanager
     async def hold(self, revision: int) -> AsyncIterator[LeaseGrant]:
-        """Hold the lease for an order under settings; raises ``LeaseNotHeldError``."""
-        asked_at = boot_time()
+        """
+        Hold the lease for an order that implements a settings revision.
+
+        Raises ``LeaseNotHeldError``.
+        """
+        requested_at = boot_time()
         session = _value(await self._leases.open_session(self._ttl))
         try:
-            fencing = await self._take_number(session, revision)
-            yield LeaseGrant(fencing, asked_at + self._ttl * (1 - MARGIN_SHARE))
+            fencing = await self._acquire_number(session, revision)
+            yield LeaseGrant(fencing, requested_at + self._ttl * (1 - MARGIN_SHARE))
         finally:
             await self._leases.close_session(session)
 
-    async def _take_number(self, session: str, revision: int) -> int:
-        held = _value(await self._leases.read(self._key))
-        last = _fence(held.value)
-        # A holder that was paused and replaced wakes with old settings: it would
-        # take the lease anew and unload what its successor has just loaded. What is
-        # done under newer settings is not undone under older ones.
+    async def _acquire_number(self, session: str, revision: int) -> int:
+        stored = _value(await self._leases.read(self._key))
+        last = _fence(stored.value)
+        # A holder that was paused and replaced resumes with old settings. It would
+        # acquire the lease again and unload what its successor has just loaded. Orders
+        # of newer settings must not be undone by orders of older ones.
         if last.revision > revision:
             raise LeaseNotHeldError(
-                f"orders were given under settings revision {last.revision}, "
-                f"{revision} is known here; waiting for the newer"
+                f"orders were sent under settings revision {last.revision}, "
+                f"this process has {revision}; waiting for the newer revision"
             )
-        mine = _Fence(last.fencing + 1, self._holder, revision)
-        value = msgspec.json.encode(mine)
-        taken = await self._leases.acquire(self._key, value, held.index, session)
-        if isinstance(taken, Err) and isinstance(
-            taken.err_value, PlatformOutcomeUnknown
+        own_fence = _Fence(last.fencing + 1, self._holder, revision)
+        value = msgspec.json.encode(own_fence)
+        acquired = await self._leases.acquire(self._key, value, stored.index, session)
+        if isinstance(acquired, Err) and isinstance(
+            acquired.err_value, PlatformOutcomeUnknown
         ):
-            # The write may have taken effect: the number is ours if our name is on
-            # it. It can't be that of an earlier try, which had a lower number.
-            found = _fence(_value(await self._leases.read(self._key)).value)
-            if found != mine:
-                raise LeaseNotHeldError("another process took the lease")
-            return mine.fencing
-        if not _value(taken):
+            # The write may have taken effect. This holder has the number if the stored
+            # value is its own; a value of an earlier attempt has a lower number.
+            current = _fence(_value(await self._leases.read(self._key)).value)
+            if current != own_fence:
+                raise LeaseNotHeldError("another process acquired the lease")
+            return own_fence.fencing
+        if not _value(acquired):
             raise LeaseNotHeldError("another process holds the lease")
-        return mine.fencing
+        return own_fence.fencing
 
 
 def _fence(value: bytes) -> _Fence:
     return msgspec.json.decode(value, type=_Fence) if value else _Fence()
 
 
-def _value(answer: Result[ValueT, PlatformError]) -> ValueT:
-    if isinstance(answer, Err):
-        raise LeaseNotHeldError(str(answer.err_value))
-    return answer.ok_value
+def _value(result: Result[ValueT, PlatformError]) -> ValueT:
+    if isinstance(result, Err):
+        raise LeaseNotHeldError(str(result.err_value))
+    return result.ok_value
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_cache_index.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_cache_index.py
@@ -1,4 +1,4 @@
-"""What a sidecar knows of its engine's prefix cache, bounded, as entries are told."""
+"""A bounded index of the blocks in an engine's prefix cache, with a change log."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable, Sequence
@@ -8,13 +8,13 @@
 
 __all__ = ["EngineEvent", "PrefixCacheIndex"]
 
-MOST_NAMES = 8_192
+MAX_NAMES = 8_192
 MAX_CHANGES = 1_024
 MAX_UPDATE_BLOCKS = 64
 
 
 class EngineEvent(NamedTuple):
-    """A block that the engine stored, or removed; ``serial`` has no gaps."""
+    """A block stored or removed by the engine; serials are consecutive."""
 
     serial: int
     stored: bool
@@ -29,50 +29,52 @@
 
 class PrefixCacheIndex:
     """
-    The blocks of prompts sent through here that the engine holds.
+    The cached blocks of the prompts that were sent through this sidecar.
 
-    The engine names its blocks in its own way, so the names of each prompt are noted
-    as it is sent; blocks of other prompts would be of no use to an entry.
+    The engine's events use its own block names, so the names of a prompt's blocks are
+    recorded when it is sent. Blocks of other prompts are of no use to entries and are
+    ignored.
 
-    A gap in the events may have held a removal, and an engine that started anew holds
-    nothing: both would draw requests to an engine that has lost their prefix. So both
-    clear what is claimed, and every entry is told to forget it.
+    The index is cleared after a gap in the events, which may have included a removal,
+    and after a restart of the engine, which empties its cache. Otherwise requests would
+    be routed to an engine that no longer has their prefix. The next update to each
+    entry is then a reset.
     """
 
     def __init__(self) -> None:
-        self._names: OrderedDict[str, int] = OrderedDict()
-        self._held: OrderedDict[int, None] = OrderedDict()
+        self._blocks_by_name: OrderedDict[str, int] = OrderedDict()
+        self._cached: OrderedDict[int, None] = OrderedDict()
         self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._serial = 0
-        self._known_from = 0
+        self._log_start = 0
         self._epoch = ""
         self._last_event = 0
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._cached)
 
     @property
     def epoch(self) -> str:
-        """The engine's start that the events are of; empty before the first."""
+        """The id of the engine's last known start; empty before the first events."""
         return self._epoch
 
     @property
     def last_event(self) -> int:
-        """Serial of the engine's last event taken."""
+        """Serial of the last event applied."""
         return self._last_event
 
     def record_prompt(self, names: Iterable[str], blocks: Iterable[int]) -> None:
-        """Note how the engine names the blocks of a prompt that is sent to it."""
+        """Record the engine's names for the blocks of a prompt that is sent to it."""
         for name, block in zip(names, blocks, strict=False):
-            self._names[name] = block
-            self._names.move_to_end(name)
-        while len(self._names) > MOST_NAMES:
-            _, block = self._names.popitem(last=False)
-            # Its removal could not be told any more.
+            self._blocks_by_name[name] = block
+            self._blocks_by_name.move_to_end(name)
+        while len(self._blocks_by_name) > MAX_NAMES:
+            _, block = self._blocks_by_name.popitem(last=False)
+            # Without its name, a removal of the block could not be recognised.
             self._remove(block)
 
     def apply_events(self, epoch: str, events: Sequence[EngineEvent]) -> None:
-        """Take events of one start of the engine, oldest first."""
+        """Apply events of the engine start ``epoch``, oldest first."""
         if epoch != self._epoch:
             self._clear()
             self._epoch = epoch
@@ -83,18 +85,18 @@
             if event.serial != self._last_event + 1:
                 self._clear()
             self._last_event = event.serial
-            self._take_event(event)
+            self._apply_event(event)
 
-    def update_since(self, after: int) -> CacheUpdate:
-        """Return what an entry lacks that was told everything up to a serial."""
-        if after == self._serial:
+    def update_since(self, serial: int) -> CacheUpdate:
+        """Return the changes since a serial, or a reset if they are not all known."""
+        if serial == self._serial:
             return CacheUpdate(self._serial)
-        if not self._known_from <= after < self._serial:
-            newest = list(self._held)[-MAX_UPDATE_BLOCKS:]
+        if not self._log_start <= serial < self._serial:
+            newest = list(self._cached)[-MAX_UPDATE_BLOCKS:]
             return CacheUpdate(self._serial, tuple(newest), reset=True)
-        latest = self._changed_since(after)
+        latest = self._changed_since(serial)
         if len(latest) > MAX_UPDATE_BLOCKS:
-            newest = list(self._held)[-MAX_UPDATE_BLOCKS:]
+            newest = list(self._cached)[-MAX_UPDATE_BLOCKS:]
             return CacheUpdate(self._serial, tuple(newest), reset=True)
         return CacheUpdate(
             self._serial,
@@ -102,39 +104,39 @@
             removed=tuple(block for block, stored in latest.items() if not stored),
         )
 
-    def _changed_since(self, after: int) -> dict[int, bool]:
-        """Return the blocks changed since a serial, and whether each is stored now."""
+    def _changed_since(self, serial: int) -> dict[int, bool]:
+        """Return the blocks changed since a serial, and whether each is cached now."""
         latest: dict[int, bool] = {}
         for change in reversed(self._changes):
-            if change.serial <= after:
+            if change.serial <= serial:
                 break
             latest.setdefault(change.block, change.stored)
         return latest
 
-    def _take_event(self, event: EngineEvent) -> None:
-        block = self._names.get(event.name)
+    def _apply_event(self, event: EngineEvent) -> None:
+        block = self._blocks_by_name.get(event.name)
         if block is None:
             return
         if not event.stored:
             self._remove(block)
             return
-        self._held[block] = None
-        self._held.move_to_end(block)
-        self._note(True, block)
+        self._cached[block] = None
+        self._cached.move_to_end(block)
+        self._log_change(True, block)
 
     def _remove(self, block: int) -> None:
-        if block in self._held:
-            del self._held[block]
-            self._note(False, block)
+        if block in self._cached:
+            del self._cached[block]
+            self._log_change(False, block)
 
-    def _note(self, stored: bool, block: int) -> None:
+    def _log_change(self, stored: bool, block: int) -> None:
         self._serial += 1
         if len(self._changes) == MAX_CHANGES:
-            self._known_from = self._changes[0].serial
+            self._log_start = self._changes[0].serial
         self._changes.append(_Change(self._serial, stored, block))
 
     def _clear(self) -> None:
         self._serial += 1
-        self._known_from = self._serial
-        self._held.clear()
+        self._log_start = self._serial
+        self._cached.clear()
         self._changes.clear()
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/served_models.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/served_models.py
@@ -1,4 +1,4 @@
-"""Which calls a sidecar takes, by the model that its engine has loaded."""
+"""Decides which calls an engine can serve, by the models that it has loaded."""
 
 import asyncio
 from collections import Counter
@@ -14,111 +14,112 @@
 
 class ServedModels:
     """
-    Refuses calls that the engine could not answer, and counts those it takes.
+    Rejects calls whose model the engine does not serve, and counts the accepted ones.
 
-    Every call is taken where no models are registered and the engine names none.
+    If the settings register no models and the engine reports none, all calls are
+    accepted.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._wanted = DesiredModels()
-        self._held: EngineModels | None = None
+        self._desired = DesiredModels()
+        self._loaded: EngineModels | None = None
         self._retired: frozenset[str] = frozenset()
         self._paused = False
         self._running: Counter[str] = Counter()
-        # When a model was last wanted or called.
-        self._busy_at: dict[str, float] = {}
+        # The loop time at which each model was last desired or called.
+        self._last_used_at: dict[str, float] = {}
         self.last_order = ""
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
 
     @property
-    def answered(self) -> frozenset[str] | None:
-        """The models that are answered now; ``None`` stands for any."""
-        held = self._held.models if self._held is not None else frozenset()
-        if not held and not self._wanted.models:
+    def served(self) -> frozenset[str] | None:
+        """The models that are currently served; ``None`` if any model is."""
+        loaded = self._loaded.models if self._loaded is not None else frozenset()
+        if not loaded and not self._desired.models:
             return None
-        return frozenset() if self._paused else held - self._retired
+        return frozenset() if self._paused else loaded - self._retired
 
     @property
     def state(self) -> ModelState | None:
-        """What entries are told; ``None`` where any model is answered."""
-        answered = self.answered
-        if answered is None:
+        """The state that is sent to entries; ``None`` if any model is served."""
+        served = self.served
+        if served is None:
             return None
-        role = self._held.role if self._held is not None else ""
-        return ModelState(answered, role, self.last_order)
+        role = self._loaded.role if self._loaded is not None else ""
+        return ModelState(served, role, self.last_order)
 
     # Calls
 
-    def named(self, call: StageCall) -> StageCall:
-        """Return the call with a model: the most wanted one where it names none."""
-        answered = self.answered
-        if call.model or answered is None:
+    def with_default_model(self, call: StageCall) -> StageCall:
+        """Set the model of a call without one to the first desired model served."""
+        served = self.served
+        if call.model or served is None:
             return call
-        first = next((m for m in self._wanted.models if m in answered), "")
+        first = next((m for m in self._desired.models if m in served), "")
         return replace(call, model=first)
 
     def refusal(self, model: str) -> str:
-        """Return why a call of a model is not taken now; empty where it is."""
-        answered = self.answered
-        if answered is None or model in answered:
+        """Return why a call for a model is rejected, or an empty string if accepted."""
+        served = self.served
+        if served is None or model in served:
             return ""
         if self._paused:
-            return "the engine takes no calls in its role, or changes it"
+            return "the engine's role accepts no calls, or is being changed"
         if not model:
-            return "" if not self._wanted.models else "no model is loaded here"
+            return "" if not self._desired.models else "no model is loaded here"
         return f"model {model} is not loaded here"
 
     @contextmanager
     def use(self, model: str) -> Iterator[None]:
-        """Count a call from when it is taken to its end."""
+        """Count a call as running until the context exits."""
         self._running[model] += 1
         try:
             yield
         finally:
             self._running[model] -= 1
-            self._busy_at[model] = self._clock()
+            self._last_used_at[model] = self._clock()
             if model in self._retired or self._paused:
-                self.news.set()
+                self.changed.set()
 
-    def missed(self, model: str) -> None:
-        """Note that the engine does not have a model that it was said to have."""
-        if self._held is not None:
-            rest = self._held.models - {model}
-            self._held = EngineModels(rest, self._held.role)
-        self.news.set()
+    def note_missing(self, model: str) -> None:
+        """Record that a model is not loaded although the engine reported it."""
+        if self._loaded is not None:
+            remaining = self._loaded.models - {model}
+            self._loaded = EngineModels(remaining, self._loaded.role)
+        self.changed.set()
 
-    # Orders
+    # Model plan
 
-    def want(self, wanted: DesiredModels) -> None:
-        """Take what the operators want."""
-        if wanted == self._wanted:
+    def set_desired(self, desired: DesiredModels) -> None:
+        """Set the models and the role that the settings call for."""
+        if desired == self._desired:
             return
         now = self._clock()
-        for model in self._wanted.models:
-            self._busy_at[model] = now
-        self._wanted = wanted
-        self.news.set()
+        for model in self._desired.models:
+            self._last_used_at[model] = now
+        self._desired = desired
+        self.changed.set()
 
-    def heard(self, held: EngineModels) -> None:
-        """Take the engine's own word of what it holds."""
+    def set_loaded(self, loaded: EngineModels) -> None:
+        """Set the loaded models and the role that the engine reports."""
         now = self._clock()
-        for model in held.models:
-            self._busy_at.setdefault(model, now)
-        self._held = held
+        for model in loaded.models:
+            self._last_used_at.setdefault(model, now)
+        self._loaded = loaded
 
-    def use_of_models(self, needed: frozenset[str]) -> ModelUsage:
-        """Return what the plan of orders has to know of the calls."""
+    def usage(self, required: frozenset[str]) -> ModelUsage:
+        """Return the use of the models, as an input of the model plan."""
         now = self._clock()
         idle_s = {
-            model: 0.0 if self._running[model] else now - at
-            for model, at in self._busy_at.items()
+            model: 0.0 if self._running[model] else now - last_used_at
+            for model, last_used_at in self._last_used_at.items()
         }
         return ModelUsage(
-            dict(self._running), idle_s, needed, self._retired, self._paused
+            dict(self._running), idle_s, required, self._retired, self._paused
         )
 
-    def follow(self, plan: ModelPlan) -> None:
-        """Refuse what a plan wants refused from now on."""
+    def apply(self, plan: ModelPlan) -> None:
+        """Reject calls from now on as the plan demands."""
         self._retired = plan.retired
         self._paused = plan.paused
--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -13,7 +13,10 @@
     LeaseExpiredError,
     LeaseGrant,
 )
-from amaranthtally.daemon.sidecar.model_reconciler import RECONCILE_S, ModelReconciler
+from amaranthtally.daemon.sidecar.model_reconciler import (
+    RECONCILE_INTERVAL_S,
+    ModelReconciler,
+)
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.policy.model_orders import Load
 from amaranthtally.settings import SidecarSettings
@@ -121,9 +124,9 @@
             (pair,) = deployment.endpoints.values()
             engine = EngineOrders(session, pair.service_url, clock=lambda: 100.0)
             with pytest.raises(LeaseExpiredError):
-                await engine.give(Load("old"), LeaseGrant(1, until=101.0))
+                await engine.send(Load("old"), LeaseGrant(1, valid_until=101.0))
             assert await orders(deployment, pair) == []
-            await engine.give(Load("new"), LeaseGrant(2, until=103.0))
+            await engine.send(Load("new"), LeaseGrant(2, valid_until=103.0))
             assert await orders(deployment, pair) == [(2, "new")]
 
     run_async(scenario())
@@ -196,6 +199,6 @@
             orders = ModelReconciler(settings, session, served, announce=None)
             for _ in range(2000):
                 wait_s = await orders._reconcile()
-            assert wait_s == RECONCILE_S
+            assert wait_s == RECONCILE_INTERVAL_S
 
     run_async(scenario())
