--- a/packages/policy/src/amaranthtally/policy/planner.py
+++ b/packages/policy/src/amaranthtally/policy/planner.py
@@ -122,7 +122,7 @@
     @property
     def pieces_waiting(self) -> int:
         """Pieces that wait for a call here, of whichever entry's requests."""
-        return self._coordinator.batcher.waiting
+        return self._coordinator.batcher.queued_count
 
     @property
     def counters(self) -> Counters:
@@ -142,7 +142,7 @@
             self._membership.prepare(now, stage)
         verdict = self._admission.decide(now, arrival)
         if verdict.reason is None and arrival.piece_work is not None:
-            verdict = self._inputs.judge(now, arrival, arrival.piece_work)
+            verdict = self._inputs.decide(now, arrival, arrival.piece_work)
         if verdict.reason is not None:
             self.counters.refused_on_arrival += 1
             return [
@@ -257,7 +257,7 @@
 
     def endpoint_restored(self, now: float, endpoint: str) -> list[Action]:
         """Use an endpoint again that was thought to leave."""
-        self._membership.mark_staying(now, endpoint)
+        self._membership.mark_restored(now, endpoint)
         return []
 
     def settings_changed(self, now: float, settings: PolicySettings) -> list[Action]:
@@ -275,8 +275,8 @@
     def tick(self, now: float) -> list[Action]:
         """End the requests whose deadline has passed; look at slow attempts."""
         self._accounts.refresh(now)
-        actions = self._membership.due_load_requests(now)
-        actions.extend(self._load_poller.due_load_requests(now))
+        actions = self._membership.due_polls(now)
+        actions.extend(self._load_poller.due_polls(now))
         actions.extend(self._inputs.free_fetched(now, self._ledger))
         actions.extend(self._follow(now, self._coordinator.tick(now)))
         while (timer := self._timers.due(now)) is not None:
--- a/tests/policy/test_request_inputs.py
+++ b/tests/policy/test_request_inputs.py
@@ -1,4 +1,4 @@
-"""Results that a request reads stay where they are until its engine has them."""
+"""Tests that a request's inputs are stored until its engine has fetched them."""
 
 from amaranthtally.policy import (
     AttemptOutcome,
@@ -17,23 +17,25 @@
 
 
 def sent_with_inputs(driver):
-    """Return the first attempt of a request whose one piece was made at ``NOW``."""
+    """Return the first attempt of a request whose only piece was done at ``NOW``."""
     work = PieceWork((PieceStage("catalogue", (), 8e3),), (1,), "key")
     driver.arrive(NOW - 0.5, piece_work=work)
     (call,) = [a for a in driver.planner.tick(NOW - 0.4) if isinstance(a, RunPieces)]
-    made = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
-    (send,) = sends(driver.take(driver.planner.pieces_ended(NOW, call.call, made)))
+    end = PiecesEnded(outcomes=(PieceOutcome(handle="h"),))
+    (send,) = sends(driver.take(driver.planner.pieces_ended(NOW, call.call, end)))
     return send
 
 
-def freed(actions):
+def free_actions(actions):
     return [action for action in actions if isinstance(action, FreeResults)]
 
 
 def test_a_second_attempt_has_its_own_time_to_read():
-    """An engine is sent a request without its inputs: those of the first were freed."""
-    found = endpoints("engine") | {"catalogue": endpoint("catalogue", place=CLUJ)}
-    driver = PlannerDriver(planner(found, pools=POOLS), one_stage())
+    """Inputs were freed by the first attempt's time, so the second found none."""
+    all_endpoints = endpoints("engine") | {
+        "catalogue": endpoint("catalogue", data_centre=CLUJ)
+    }
+    driver = PlannerDriver(planner(all_endpoints, pools=POOLS), one_stage())
     first = sent_with_inputs(driver)
     request_id = first.attempt.request_id
     again = NOW + 0.9 * FETCH_S
@@ -41,7 +43,7 @@
         driver.reply(again, first, AttemptOutcome.NOT_RUN, unreachable=True)
     )
     assert second.endpoint != first.endpoint
-    assert not freed(driver.tick(NOW + 1.1 * FETCH_S))
+    assert not free_actions(driver.tick(NOW + 1.1 * FETCH_S))
     assert driver.planner.inputs_of(request_id)
-    assert freed(driver.tick(again + 1.1 * FETCH_S))
+    assert free_actions(driver.tick(again + 1.1 * FETCH_S))
     assert not driver.planner.inputs_of(request_id)
