--- a/tests/at_most_once/support.py
+++ b/tests/at_most_once/support.py
@@ -1,4 +1,4 @@
-"""A deployment of effects only, and what its services recorded."""
+"""A deployment of the dispatch pipeline, whose calls have effects, and helpers."""
 
 import asyncio
 import json
@@ -18,49 +18,49 @@
 
 @asynccontextmanager
 async def effects_deployment(entries=2, servers=2, **overrides):
-    """Open a deployment of the dispatch pipeline alone."""
-    whole = plan()
-    pools = [pool for pool in whole.pools if pool.name in POOLS]
-    settings = {f"pipeline:{PIPELINE}": whole.settings[f"pipeline:{PIPELINE}"]}
-    small = msgspec.structs.replace(whole, pools=pools, settings=settings)
-    async with open_deployment(small, entries, servers, **overrides) as deployment:
+    """Open a deployment of the dispatch pipeline only."""
+    full_plan = plan()
+    pools = [pool for pool in full_plan.pools if pool.name in POOLS]
+    settings = {f"pipeline:{PIPELINE}": full_plan.settings[f"pipeline:{PIPELINE}"]}
+    small_plan = msgspec.structs.replace(full_plan, pools=pools, settings=settings)
+    async with open_deployment(small_plan, entries, servers, **overrides) as deployment:
         yield deployment
 
 
 async def effects(deployment):
-    """Return every effect that a dispatch service that still runs recorded."""
-    found = []
+    """Return the effects recorded by the dispatch services that are running."""
+    recorded = []
     for pair in deployment.pool("dispatch"):
         if pair.service.exit_code is None:
-            found.extend(await deployment.records(pair.service))
-    return found
+            recorded.extend(await deployment.records(pair.service))
+    return recorded
 
 
 async def all_effects(deployment):
-    """Return every effect on record, also of services that died by a knob."""
-    found = await effects(deployment)
+    """Return all recorded effects, including those of services that a knob killed."""
+    recorded = await effects(deployment)
     for pair in deployment.pool("dispatch"):
         if pair.service.exit_code is not None:
             await pair.service.wait()
             lines = logged(pair.service, "died")
-            found.extend(json.loads(line.partition(" record=")[2]) for line in lines)
-    return found
+            recorded.extend(json.loads(line.partition(" record=")[2]) for line in lines)
+    return recorded
 
 
-async def set_dispatch(deployment, **knobs):
-    """Set knobs of every dispatch service."""
+async def set_dispatch_knobs(deployment, **knobs):
+    """Set knobs of all dispatch services."""
     for pair in deployment.pool("dispatch"):
         await deployment.set_knobs(pair.service, **knobs)
 
 
 async def wait_for(condition):
-    """Return once an asynchronous condition holds; the test's bound ends it."""
+    """Wait until an asynchronous condition holds, limited by the test's time-out."""
     while not await condition():
         await asyncio.sleep(0.01)
 
 
 async def wait_for_effects(deployment, count):
-    """Return once the services recorded ``count`` effects."""
+    """Wait until the services have recorded ``count`` effects."""
 
     async def reached():
         return len(await effects(deployment)) >= count
@@ -69,12 +69,12 @@
 
 
 async def wait_for_call(deployment, pool="dispatch"):
-    """Return the endpoint of a pool that a call reached, once one did."""
+    """Wait for a call to reach an endpoint of a pool; return the endpoint."""
     return await wait_for_calls(deployment, 1, pool)
 
 
 async def wait_for_calls(deployment, count, pool="dispatch"):
-    """Return the endpoint of a pool that ``count`` calls reached, once they did."""
+    """Wait for ``count`` calls to reach one endpoint of a pool; return the endpoint."""
     while True:
         for pair in deployment.pool(pool):
             async with deployment.http.get(f"{pair.service_url}/_calls") as response:
@@ -84,27 +84,27 @@
 
 
 async def wait_for_calls_in_all(deployment, count, pool="dispatch"):
-    """Return once ``count`` calls have reached a pool's services together."""
+    """Wait until ``count`` calls in total have reached the services of a pool."""
 
     async def reached():
-        found = 0
+        calls = 0
         for pair in deployment.pool(pool):
             async with deployment.http.get(f"{pair.service_url}/_calls") as response:
-                found += await response.json()
-        return found >= count
+                calls += await response.json()
+        return calls >= count
 
     await wait_for(reached)
 
 
 async def restart_sidecar(deployment, pair, **overrides):
-    """Start a sidecar anew at the address of the one that has ended."""
+    """Start a sidecar again at its previous address after it has ended."""
     settings = tomllib.loads(pair.sidecar_file.read_text(encoding="utf-8"))
     deployment.write_settings(pair.id, settings | overrides)
     pair.sidecar = await deployment.start_daemon("sidecar", pair.id, pair.sidecar_file)
 
 
-async def token(deployment, entry=0, account=0):
-    """Return a new token of a client account."""
+async def new_token(deployment, entry=0, account=0):
+    """Request a token of a client account and return it."""
     key = deployment.plan.accounts[account].key
     async with deployment.http.post(
         f"{deployment.entry_url(entry)}/v1/pipelines/{PIPELINE}/tokens",
--- a/tests/at_most_once/test_claims.py
+++ b/tests/at_most_once/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims in the platform: their removal."""
+"""Claims in the platform's key-value store: creation, removal and outages."""
 
 import asyncio
 import time
@@ -25,7 +25,7 @@
 
 @asynccontextmanager
 async def open_platform(*knobs):
-    """Yield a client of a platform stand-in; knobs are ``name=value``."""
+    """Start a platform stand-in and yield a client; knobs are ``name=value``."""
     async with AsyncExitStack() as stack:
         process = await start_process("platform", STANDINS, "platform", "--set", *knobs)
         stack.push_async_callback(process.kill)
@@ -34,22 +34,22 @@
 
 
 def open_platform_at(client):
-    """Open another process's client of the platform that ``client`` calls."""
+    """Open a second client of the platform that ``client`` uses."""
     return open_key_value(client._url, "another")
 
 
 async def put_claim(platform, age):
-    """Write a claim that is ``age`` seconds old; return its index."""
+    """Write a claim that is ``age`` seconds old and return its index."""
     claim = Claim("first", "a", BINDINGS, time.time() - age)
     written = await platform.compare_and_swap(PATH, msgspec.json.encode(claim), 0)
     assert written.ok_value
     return (await platform.get(PATH)).ok_value.index
 
 
-def test_only_claims_over_their_age_are_removed():
+def test_only_expired_claims_are_removed():
     """
-    After a month of orders the platform is full of claims, and changes of settings
-    are refused. Old claims have to go, and none within which a caller may repeat.
+    Guards against a platform that fills up with claims until it rejects changes of
+    settings, and against the removal of claims whose calls may still be repeated.
     """
 
     async def scenario():
@@ -58,80 +58,88 @@
             await put_claim(platform, DAY_S / 2)
             assert await sweeper.sweep(SHARD) == 0
             assert (await platform.get(PATH)).ok_value is not None
-            soon = ClaimSweeper(platform, DAY_S / 4, Random(1))
-            assert await soon.sweep(SHARD + 1) == 0
-            assert await soon.sweep(SHARD) == 1
+            short_ttl_sweeper = ClaimSweeper(platform, DAY_S / 4, Random(1))
+            assert await short_ttl_sweeper.sweep(SHARD + 1) == 0
+            assert await short_ttl_sweeper.sweep(SHARD) == 1
             assert (await platform.get(PATH)).ok_value is None
 
     run_async(scenario())
 
 
-def test_a_late_removal_leaves_a_newer_claim_alone():
+def test_a_late_removal_keeps_a_newer_claim():
     """
-    A sweep reads an old claim and stalls; another removes it, and the key is
-    claimed anew. The first goes on: removing by name alone would let a repeat of
-    the new order be claimed a second time and run twice.
+    Guards against a call that runs twice because its claim was removed. A sweep
+    reads an old claim and stalls; another sweep removes it, and the key is claimed
+    again. If the first sweep then removed the claim by name alone, a repeat of the new
+    call could claim the key a second time.
     """
 
     async def scenario():
         async with open_platform() as platform:
-            old = await put_claim(platform, 2 * DAY_S)
+            old_index = await put_claim(platform, 2 * DAY_S)
             assert await ClaimSweeper(platform, DAY_S, Random(1)).sweep(SHARD) == 1
             claimed = await Claims(platform).claim(PATH, "b", BINDINGS)
             assert claimed.ok_value.fresh
-            assert (await platform.delete(PATH, old)).ok_value is False
-            again = await asyncio.gather(
+            assert (await platform.delete(PATH, old_index)).ok_value is False
+            repeats = await asyncio.gather(
                 *(Claims(platform).claim(PATH, "b", BINDINGS) for _ in range(3))
             )
-            assert not [found for found in again if found.ok_value.fresh]
+            assert not [repeat for repeat in repeats if repeat.ok_value.fresh]
 
     run_async(scenario())
 
 
-@pytest.mark.parametrize("wrong_s", [-2 * DAY_S, 2 * DAY_S])
-def test_an_entry_with_a_wrong_clock_removes_no_claim_early(wrong_s, monkeypatch):
+@pytest.mark.parametrize("clock_error_s", [-2 * DAY_S, 2 * DAY_S])
+def test_an_entry_with_a_wrong_clock_removes_no_claim_early(clock_error_s, monkeypatch):
     """
-    An entry starts on a host whose clock is days ahead, or behind. It takes young
-    claims for old ones, or stamps its own so that the others do; the caller repeats
-    its key, nobody knows it any more, and a second truck is sent.
+    Guards against early removal of a claim by an entry whose clock is days ahead, or
+    of a claim stamped by an entry whose clock is days behind. A repeat of the key
+    would run the call a second time.
     """
 
     async def scenario():
-        async with open_platform() as platform, open_platform_at(platform) as other:
+        async with (
+            open_platform() as platform,
+            open_platform_at(platform) as second_client,
+        ):
             wall_clock = time.time
             with monkeypatch.context() as at_claim:
-                at_claim.setattr(time, "time", lambda: wall_clock() + min(wrong_s, 0))
-                claimed = await Claims(other).claim(PATH, "a", BINDINGS)
+                at_claim.setattr(
+                    time, "time", lambda: wall_clock() + min(clock_error_s, 0)
+                )
+                claimed = await Claims(second_client).claim(PATH, "a", BINDINGS)
                 assert claimed.ok_value.fresh
             with monkeypatch.context() as at_sweep:
-                at_sweep.setattr(time, "time", lambda: wall_clock() + max(wrong_s, 0))
+                at_sweep.setattr(
+                    time, "time", lambda: wall_clock() + max(clock_error_s, 0)
+                )
                 sweeper = ClaimSweeper(platform, DAY_S, Random(1))
                 assert await sweeper.sweep(SHARD) == 0
-            again = await Claims(platform).claim(PATH, "a", BINDINGS)
-            assert not again.ok_value.fresh
+            repeat = await Claims(platform).claim(PATH, "a", BINDINGS)
+            assert not repeat.ok_value.fresh
 
     run_async(scenario())
 
 
 def test_a_repeat_finds_its_claim_in_a_slow_platform():
     """
-    The platform takes most of a second for each call, for an hour. A repeat needs
-    two calls, a refused write and a read: its caller hears unknown each time.
+    Guards against repeats that time out with the outcome unknown while the platform
+    needs most of a second per request: a repeat needs two, a rejected write and a read.
     """
 
     async def scenario():
         async with open_platform("slow=0.7") as platform:
             await put_claim(platform, 0.0)
-            again = await Claims(platform).claim(PATH, "a", BINDINGS, LONG_OUTAGE_S)
-            assert again.ok_value.claim.id == "first"
+            repeat = await Claims(platform).claim(PATH, "a", BINDINGS, LONG_OUTAGE_S)
+            assert repeat.ok_value.claim.id == "first"
 
     run_async(scenario())
 
 
 def test_only_a_short_outage_is_waited_out():
     """
-    The platform is down for an hour: callers who each wait half of their deadline
-    for nothing fill the entries, and all write at once as it comes back.
+    Guards against entries that fill up with waiting callers during a long outage of
+    the platform and all write at once when it is back.
     """
     outage = OutageWatch()
     outage.failed(0.0)
@@ -141,6 +149,6 @@
     assert outage.is_long(LONG_OUTAGE_S + 1)
     outage.succeeded()
     assert not outage.is_long(LONG_OUTAGE_S + 2)
-    later = 100 * LONG_OUTAGE_S
-    outage.failed(later)
-    assert not outage.is_long(later + 1)
+    second_outage_at = 100 * LONG_OUTAGE_S
+    outage.failed(second_outage_at)
+    assert not outage.is_long(second_outage_at + 1)
--- a/tests/at_most_once/test_faults.py
+++ b/tests/at_most_once/test_faults.py
@@ -1,4 +1,4 @@
-"""One fault at a time, and two together, during a call with an effect."""
+"""Single and double faults during at-most-once calls."""
 
 import asyncio
 import signal
@@ -8,9 +8,9 @@
     PIPELINE,
     effects,
     effects_deployment,
+    new_token,
     restart_sidecar,
-    set_dispatch,
-    token,
+    set_dispatch_knobs,
     wait_for,
     wait_for_call,
     wait_for_calls,
@@ -20,13 +20,13 @@
 from tests.lifecycle.support import logged
 from tests.support import run_async
 
-QUICK = 5
+FAST_CALLS = 5
 
 
-async def send_both_ways(deployment, **knobs):
-    """Set knobs, send an order by key and one by token; return keys and tasks."""
-    keys = ["order-1", await token(deployment)]
-    await set_dispatch(deployment, **knobs)
+async def send_two_calls(deployment, **knobs):
+    """Set knobs, then send a call with a key and one with a token; return both."""
+    keys = ["order-1", await new_token(deployment)]
+    await set_dispatch_knobs(deployment, **knobs)
     sent = [
         asyncio.create_task(deployment.call(PIPELINE, ORDER, key=key)) for key in keys
     ]
@@ -34,16 +34,16 @@
 
 
 async def outcomes(responses):
-    """Return the status and outcome of each answer."""
-    found = []
+    """Return the status and the outcome of each response."""
+    statuses = []
     for response in responses:
         document = await response.json()
-        found.append((response.status, document.get("outcome", "answered")))
-    return found
+        statuses.append((response.status, document.get("outcome", "answered")))
+    return statuses
 
 
 async def repeat(deployment, keys):
-    """Repeat each key through each entry; return statuses and outcomes."""
+    """Repeat each key through each entry; return the statuses and outcomes."""
     return await outcomes(
         [
             await deployment.call(PIPELINE, ORDER, entry=entry, key=key)
@@ -55,22 +55,22 @@
 
 def test_a_sidecar_killed_before_the_effect():
     """
-    The sidecar dies while the service has not yet ordered the truck. Nobody can
-    tell whether it will: a repeat that ran elsewhere, or at the restarted sidecar,
-    could bring a second truck. Every answer is unknown.
+    Guards against a second effect. The sidecar dies before the service has produced
+    the effect, which may still happen. A repeat must not run at another endpoint or at
+    the restarted sidecar; every outcome is unknown.
     """
 
     async def scenario():
         async with effects_deployment(servers=1) as deployment:
-            keys, sent = await send_both_ways(deployment, stuck=True)
+            keys, sent = await send_two_calls(deployment, stuck=True)
             pair = await wait_for_call(deployment)
             await pair.sidecar.kill()
             first = await outcomes(await asyncio.gather(*sent))
             assert {o for _, o in first} == {"unknown"}, first
             await restart_sidecar(deployment, pair)
-            await set_dispatch(deployment, stuck=False)
-            again = await repeat(deployment, keys)
-            assert {o for _, o in again} == {"unknown"}, again
+            await set_dispatch_knobs(deployment, stuck=False)
+            repeats = await repeat(deployment, keys)
+            assert {o for _, o in repeats} == {"unknown"}, repeats
             assert await effects(deployment) == []
 
     run_async(scenario())
@@ -78,22 +78,22 @@
 
 def test_a_sidecar_killed_after_the_effect():
     """
-    The truck is ordered, and the sidecar dies before the entry hears of it. The
-    restarted sidecar has no record of the call and must not run a repeat.
+    Guards against a second effect. The sidecar dies after the effect and before its
+    reply. The restarted sidecar has no record of the call and must not run a repeat.
     """
 
     async def scenario():
         async with effects_deployment(servers=1) as deployment:
-            keys, sent = await send_both_ways(deployment, stuck_after=True)
+            keys, sent = await send_two_calls(deployment, stuck_after=True)
             await wait_for_effects(deployment, 2)
             pair = deployment.pool("dispatch")[0]
             await pair.sidecar.kill()
             first = await outcomes(await asyncio.gather(*sent))
             assert {o for _, o in first} == {"unknown"}, first
             await restart_sidecar(deployment, pair)
-            await set_dispatch(deployment, stuck_after=False)
-            again = await repeat(deployment, keys)
-            assert {o for _, o in again} == {"unknown"}, again
+            await set_dispatch_knobs(deployment, stuck_after=False)
+            repeats = await repeat(deployment, keys)
+            assert {o for _, o in repeats} == {"unknown"}, repeats
             assert len(await effects(deployment)) == 2
 
     run_async(scenario())
@@ -101,19 +101,19 @@
 
 def test_a_sidecar_killed_once_the_call_has_ended():
     """
-    An order was answered; then its sidecar dies. A tool that repeats the order
-    hears unknown, and no other endpoint of the pool runs it.
+    Guards against a second effect. The sidecar dies after the call was answered. The
+    outcome of a repeat is unknown, and no other endpoint runs it.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            keys, sent = await send_both_ways(deployment)
+            keys, sent = await send_two_calls(deployment)
             assert [r.status for r in await asyncio.gather(*sent)] == [200, 200]
             for pair in deployment.pool("dispatch"):
                 await pair.sidecar.kill()
                 await restart_sidecar(deployment, pair)
-            again = await repeat(deployment, keys)
-            assert {o for _, o in again} == {"unknown"}, again
+            repeats = await repeat(deployment, keys)
+            assert {o for _, o in repeats} == {"unknown"}, repeats
             assert len(await effects(deployment)) == 2
 
     run_async(scenario())
@@ -121,14 +121,14 @@
 
 def test_a_sidecar_paused_past_every_timeout_and_continued():
     """
-    A host stalls while the truck is being ordered, and every deadline passes. The
-    caller hears unknown; the repeat meets the other entry. When the host goes on,
-    its sidecar still holds the call: it must be the only one that ever did.
+    Guards against a second effect. The sidecar is paused during the call until every
+    deadline has passed, so the outcome is unknown, also for a repeat through the other
+    entry. After the sidecar resumes, repeats get the result of its one call.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await set_dispatch(deployment, slow=0.3)
+            await set_dispatch_knobs(deployment, slow=0.3)
             sent = asyncio.create_task(
                 deployment.call(PIPELINE, ORDER, key="order-1", deadline_ms=600)
             )
@@ -136,23 +136,23 @@
             pair.sidecar.send(signal.SIGSTOP)
             first = await outcomes([await sent])
             assert first == [(504, "unknown")]
-            paused = await deployment.call(
+            during_pause = await deployment.call(
                 PIPELINE, ORDER, entry=1, key="order-1", deadline_ms=600
             )
-            assert (await outcomes([paused]))[0][1] == "unknown"
+            assert (await outcomes([during_pause]))[0][1] == "unknown"
             pair.sidecar.send(signal.SIGCONT)
-            again = await repeat(deployment, ["order-1"])
-            assert again == [(200, "answered")] * 2
+            repeats = await repeat(deployment, ["order-1"])
+            assert repeats == [(200, "answered")] * 2
             assert len(await effects(deployment)) == 1
 
     run_async(scenario())
 
 
-def test_a_paused_entry_sends_after_a_repeat_was_told_not_run():
+def test_a_paused_entry_sends_after_a_repeat_was_not_run():
     """
-    An entry binds an order and stalls before sending it. The repeat through the
-    other entry is told that nothing ran, and the caller orders the truck by phone.
-    The stalled entry goes on and sends its copy, which must be refused.
+    Guards against an outcome not run that becomes false later. An entry binds a call
+    and is paused before sending it. A repeat through the other entry gets the outcome
+    not run. When the first entry resumes and sends its copy, the copy must be rejected.
     """
 
     async def scenario():
@@ -167,32 +167,32 @@
             )
             await wait_for_call(deployment, "roster")
             deployment.entries[0].send(signal.SIGSTOP)
-            refused = await deployment.call(
+            repeated = await deployment.call(
                 PIPELINE, ORDER, entry=1, key="order-1", deadline_ms=200
             )
-            assert await outcomes([refused]) == [(504, "not_run")]
+            assert await outcomes([repeated]) == [(504, "not_run")]
             deployment.entries[0].send(signal.SIGCONT)
-            late = (await outcomes([await sent]))[0]
-            assert late[1] == "not_run", late
+            late_outcome = (await outcomes([await sent]))[0]
+            assert late_outcome[1] == "not_run", late_outcome
             assert await effects(deployment) == []
-            again = await repeat(deployment, ["order-1"])
-            assert again == [(200, "answered")] * 2
+            repeats = await repeat(deployment, ["order-1"])
+            assert repeats == [(200, "answered")] * 2
             assert len(await effects(deployment)) == 1
 
     run_async(scenario())
 
 
-def test_a_platform_outage_refuses_own_keys_and_serves_tokens():
+def test_a_platform_outage_rejects_caller_keys_and_serves_tokens():
     """
-    The platform is down in the harvest. An order with an own key can't be claimed
-    and is refused with a time to come back. An earlier try may have run it
-    (order-0 here), and nothing tells the two apart, so the outcome is unknown. One
-    with a token is served.
+    During an outage of the platform a call with a key chosen by the caller can not be
+    claimed and is rejected with a Retry-After header. An earlier attempt may have run
+    it, as for order-0 here, and the entry can not tell, so the outcome is unknown.
+    Calls with tokens need no claim and are served.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            keys = [await token(deployment) for _ in range(2)]
+            keys = [await new_token(deployment) for _ in range(2)]
             before = await deployment.call(PIPELINE, ORDER, key="order-0")
             assert before.status == 200
             await deployment.set_knobs(deployment.platform, outage=True)
@@ -203,18 +203,18 @@
             assert len(await effects(deployment)) == 1
             served = await repeat(deployment, keys)
             assert served == [(200, "answered")] * 4
-            another = await token(deployment)
-            assert (await repeat(deployment, [another]))[0] == (200, "answered")
+            fresh_token = await new_token(deployment)
+            assert (await repeat(deployment, [fresh_token]))[0] == (200, "answered")
             assert len(await effects(deployment)) == 4
 
     run_async(scenario())
 
 
-def test_a_short_outage_of_the_platform_refuses_nobody():
+def test_a_short_outage_of_the_platform_rejects_no_call():
     """
-    The platform is away for a moment as an order with an own key comes in. Refused
-    at once, its caller hears unknown and does not know whether a truck comes; there
-    is time enough before its deadline to try again.
+    Guards against a needless outcome unknown. The platform is unavailable for a moment
+    when a call with a key chosen by the caller arrives. The entry must retry the claim,
+    because there is enough time before the deadline.
     """
 
     async def scenario():
@@ -224,10 +224,10 @@
                 deployment.call(PIPELINE, ORDER, key="order-1", deadline_ms=60_000)
             )
 
-            async def put_off():
+            async def claim_was_postponed():
                 return bool(logged(deployment.entries[0], "claim_put_off"))
 
-            await wait_for(lambda: ended_or(order, put_off))
+            await wait_for(lambda: ended_or(order, claim_was_postponed))
             await deployment.set_knobs(deployment.platform, outage=False)
             assert await outcomes([await order]) == [(200, "answered")]
             assert len(await effects(deployment)) == 1
@@ -236,28 +236,31 @@
 
 
 async def ended_or(task, condition):
-    """Whether a task has ended or an asynchronous condition holds."""
+    """Return whether a task has ended or an asynchronous condition holds."""
     return task.done() or await condition()
 
 
-def test_the_claims_answer_is_lost():
+def test_the_reply_to_a_claim_is_lost():
     """
-    A claim takes effect and its answer is lost. An entry that gave up would leave
-    a key that nobody runs; one that claimed anew elsewhere would run it twice.
+    A claim takes effect, but the platform's reply is lost. If the entry gave up, no
+    entry would run the key's call; if it claimed the key again with another binding,
+    the call could run twice.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            for number, lost in enumerate((1, 2, 3)):
-                await deployment.set_knobs(deployment.platform, lose_answers=lost)
+            for number, lost_replies in enumerate((1, 2, 3)):
+                await deployment.set_knobs(
+                    deployment.platform, lose_answers=lost_replies
+                )
                 answers = await asyncio.gather(
                     *(
                         deployment.call(PIPELINE, ORDER, entry=e, key=f"order-{number}")
                         for e in (0, 1)
                     )
                 )
-                found = await outcomes(answers)
-                assert found == [(200, "answered")] * 2, found
+                results = await outcomes(answers)
+                assert results == [(200, "answered")] * 2, results
                 assert len(await effects(deployment)) == number + 1
 
     run_async(scenario())
@@ -265,13 +268,13 @@
 
 def test_the_service_is_stuck_after_the_effect():
     """
-    The truck is ordered and the service hangs before its answer. The deadline
-    passes: unknown, also for a repeat, and no second truck.
+    Guards against a second effect. The service hangs after the effect until the
+    deadline passes. The outcome is unknown, also for a repeat.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await set_dispatch(deployment, stuck_after=True)
+            await set_dispatch_knobs(deployment, stuck_after=True)
             for entry in (0, 1):
                 late = await deployment.call(
                     PIPELINE, ORDER, entry=entry, key="order-1", deadline_ms=400
@@ -284,8 +287,8 @@
 
 def test_a_queued_call_is_withdrawn_and_never_runs():
     """
-    The service is busy, and an order waits at the sidecar until its deadline. The
-    caller hears not run and phones for a truck; the queued order must never start.
+    Guards against an outcome not run that becomes false later. A call is queued at the
+    sidecar until its deadline, and its outcome is not run. It must never start.
     """
 
     async def scenario():
@@ -293,19 +296,19 @@
         async with effects_deployment(
             servers=1, sidecar_overrides=overrides
         ) as deployment:
-            # Quick ones first: the policy must expect the late ones to be in time,
-            # and send them.
-            for number in range(QUICK):
-                quick = await deployment.call(
+            # Fast calls come first, so that the policy expects later calls to finish
+            # in time and sends them.
+            for number in range(FAST_CALLS):
+                fast = await deployment.call(
                     PIPELINE, ORDER, entry=1, key=f"quick-{number}"
                 )
-                assert quick.status == 200
-            await set_dispatch(deployment, slow=1.5)
+                assert fast.status == 200
+            await set_dispatch_knobs(deployment, slow=1.5)
             running = asyncio.create_task(
                 deployment.call(PIPELINE, ORDER, key="order-1")
             )
-            await wait_for_calls(deployment, QUICK + 1)
-            for key in ("order-2", await token(deployment)):
+            await wait_for_calls(deployment, FAST_CALLS + 1)
+            for key in ("order-2", await new_token(deployment)):
                 late = await deployment.call(
                     PIPELINE, ORDER, entry=1, key=key, deadline_ms=300
                 )
@@ -313,20 +316,21 @@
             assert (await running).status == 200
             last = await deployment.call(PIPELINE, ORDER, key="order-3")
             assert last.status == 200
-            assert len(await effects(deployment)) == QUICK + 2
+            assert len(await effects(deployment)) == FAST_CALLS + 2
 
     run_async(scenario())
 
 
 def test_an_entry_killed_and_the_platform_down():
     """
-    An entry dies while the truck is being ordered, and the platform is down too.
-    The token that the caller holds is enough for the other entry.
+    An entry dies during two calls, and the platform is unavailable. A repeat with a
+    token gets its result through the other entry. A repeat with a caller's key gets
+    the outcome unknown until the platform is back.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            keys, sent = await send_both_ways(deployment, slow=0.5)
+            keys, sent = await send_two_calls(deployment, slow=0.5)
             await wait_for_calls_in_all(deployment, len(keys))
             await deployment.set_knobs(deployment.platform, outage=True)
             await deployment.entries[0].kill()
@@ -343,8 +347,8 @@
             await deployment.set_knobs(deployment.platform, outage=False)
 
             async def answered():
-                found = await deployment.call(PIPELINE, ORDER, entry=1, key=keys[0])
-                return found.status == 200
+                response = await deployment.call(PIPELINE, ORDER, entry=1, key=keys[0])
+                return response.status == 200
 
             await wait_for(answered)
             assert len(await effects(deployment)) == 2
@@ -354,35 +358,35 @@
 
 def test_a_sidecar_paused_and_the_entry_killed():
     """
-    A host stalls in mid-order and the entry that waits for it dies. The other
-    entry says unknown while the host is silent, and has the result afterwards.
+    The sidecars are paused during two calls and the entry that awaits them dies. The
+    other entry reports unknown while the sidecars are paused, and the results later.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            keys, sent = await send_both_ways(deployment, slow=0.3)
+            keys, sent = await send_two_calls(deployment, slow=0.3)
             first = await wait_for_call(deployment)
             for pair in deployment.pool("dispatch"):
                 pair.sidecar.send(signal.SIGSTOP)
             await deployment.entries[0].kill()
             await asyncio.gather(*sent, return_exceptions=True)
-            paused = await outcomes(
+            during_pause = await outcomes(
                 [
                     await deployment.call(PIPELINE, ORDER, entry=1, key=key)
                     for key in keys
                 ]
             )
-            assert {o for _, o in paused} == {"unknown"}, paused
+            assert {o for _, o in during_pause} == {"unknown"}, during_pause
             for pair in deployment.pool("dispatch"):
                 pair.sidecar.send(signal.SIGCONT)
             assert first.sidecar.exit_code is None
-            again = await outcomes(
+            repeats = await outcomes(
                 [
                     await deployment.call(PIPELINE, ORDER, entry=1, key=key)
                     for key in keys
                 ]
             )
-            assert again == [(200, "answered")] * 2
+            assert repeats == [(200, "answered")] * 2
             assert len(await effects(deployment)) == 2
 
     run_async(scenario())
--- a/tests/at_most_once/test_handover.py
+++ b/tests/at_most_once/test_handover.py
@@ -1,4 +1,4 @@
-"""Planned stops hand the records of effects on."""
+"""Handover of the records of at-most-once calls at planned stops."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
     PIPELINE,
     effects,
     effects_deployment,
+    new_token,
     restart_sidecar,
-    token,
 )
 from tests.support import run_async
 
@@ -17,9 +17,9 @@
 
 
 async def place_orders(deployment):
-    """Place orders by key and by token; return the output of each."""
+    """Send orders by key and by token; return the output of each."""
     keys = [f"order-{n}" for n in range(ORDERS)]
-    keys += [await token(deployment) for _ in range(ORDERS)]
+    keys += [await new_token(deployment) for _ in range(ORDERS)]
     outputs = {}
     for key in keys:
         response = await deployment.call(PIPELINE, ORDER, key=key)
@@ -29,42 +29,41 @@
 
 
 async def restart_pool(deployment):
-    """Stop each dispatch sidecar gracefully and start it anew, one by one."""
+    """Stop the dispatch sidecars gracefully and restart them, one after the other."""
     for pair in deployment.pool("dispatch"):
         assert await pair.sidecar.stop() == 0
         await restart_sidecar(deployment, pair)
-        await greet(deployment)
+        await connect_all(deployment)
 
 
-async def greet(deployment):
-    """Have every entry connect to every dispatch sidecar, which learn of peers."""
+async def connect_all(deployment):
+    """Connect all entries to all dispatch sidecars, which learn of their peers."""
     for entry in range(len(deployment.entries)):
         for _ in range(2 * len(deployment.pool("dispatch"))):
-            await token(deployment, entry)
+            await new_token(deployment, entry)
 
 
 async def repeat_all(deployment, outputs):
-    """Repeat every order through each entry; return the answers that differ."""
-    wrong = []
+    """Repeat every order through each entry; return the responses that differ."""
+    different = []
     for key, output in outputs.items():
         for entry in range(len(deployment.entries)):
             response = await deployment.call(PIPELINE, ORDER, entry=entry, key=key)
             document = await response.json()
             if response.status != 200 or document["output"] != output:
-                wrong.append((response.status, document))
-    return wrong
+                different.append((response.status, document))
+    return different
 
 
 def test_repeats_get_their_results_after_a_rolling_restart():
     """
-    The dispatch sidecars are restarted one after the other, as on any day. A tool
-    that lost its connection repeats its orders and hears unknown: each restart
-    took the records along.
+    Guards against the outcome unknown for repeats after a rolling restart, which
+    happens if each restart discards the sidecar's records.
     """
 
     async def scenario():
         async with effects_deployment(servers=3) as deployment:
-            await greet(deployment)
+            await connect_all(deployment)
             outputs = await place_orders(deployment)
             await restart_pool(deployment)
             assert await repeat_all(deployment, outputs) == []
@@ -75,19 +74,20 @@
 
 def test_a_token_of_a_stopped_sidecar_that_never_ran_is_not_run():
     """
-    A token's sidecar stops before the token is used. Its records say that the call
-    never came: the caller hears not run, and can take a new token at once.
+    Guards against a needless outcome unknown. A token's sidecar stops before the token
+    is used. The handed-over records show that its call was never received, so the
+    outcome is not run, and the caller may request a new token.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await greet(deployment)
-            unused = [await token(deployment, n % 2) for n in range(ORDERS)]
+            await connect_all(deployment)
+            unused = [await new_token(deployment, n % 2) for n in range(ORDERS)]
             outputs = await place_orders(deployment)
             for pair in deployment.pool("dispatch"):
                 assert await pair.sidecar.stop() == 0
                 await restart_sidecar(deployment, pair)
-                await greet(deployment)
+                await connect_all(deployment)
             for key in unused:
                 response = await deployment.call(PIPELINE, ORDER, key=key)
                 document = await response.json()
@@ -97,28 +97,28 @@
     run_async(scenario())
 
 
-def test_records_signed_by_another_key_are_not_taken():
+def test_records_signed_by_another_key_are_rejected():
     """
-    Someone on the network hands a sidecar records that they made up, so that
-    orders never carried out are answered as done. Only a key of ours counts.
+    Guards against forged records, which would make calls that never ran be answered
+    with a result. A sidecar accepts only records signed by one of its handover keys.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await greet(deployment)
+            await connect_all(deployment)
             outputs = await place_orders(deployment)
             first, second = deployment.pool("dispatch")
             await second.sidecar.stop()
             await restart_sidecar(deployment, second, handover_keys=[OTHER_KEY])
-            await greet(deployment)
+            await connect_all(deployment)
             await first.sidecar.stop()
             await restart_sidecar(deployment, first)
             responses = await asyncio.gather(
                 *(deployment.call(PIPELINE, ORDER, key=key) for key in outputs)
             )
-            found = {(await r.json()).get("outcome", "answered") for r in responses}
-            assert "unknown" in found
-            assert "not_run" not in found
+            reported = {(await r.json()).get("outcome", "answered") for r in responses}
+            assert "unknown" in reported
+            assert "not_run" not in reported
             assert len(await effects(deployment)) == len(outputs)
 
     run_async(scenario())
--- a/tests/at_most_once/test_ledger.py
+++ b/tests/at_most_once/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's decisions under any order of calls, copies and withdrawals."""
+"""The call ledger's verdicts for any sequence of calls, copies and withdrawals."""
 
 from dataclasses import dataclass
 
@@ -28,21 +28,21 @@
 
 @dataclass(frozen=True)
 class Copy:
-    """A call on its way, sent at the ``order``-th step."""
+    """A copy of a call in flight; ``step`` is the number of the step that sent it."""
 
     key: str
     terms: AtMostOnceTerms
-    order: int
+    step: int
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Copies of calls reach one sidecar late, twice, or after a withdrawal."""
+    """Copies of calls reach one sidecar late, repeatedly, or after a withdrawal."""
 
     def __init__(self):
         super().__init__()
         self.ledger = CallLedger(INCARNATION, CAPACITY, TTL_S)
         self.now = 0.0
-        self.order = 0
+        self.step = 0
         self.keys = 0
         self.effects = {}
         self.inputs = {}
@@ -64,18 +64,18 @@
     @rule(target=copies, token=tokens, fingerprint=FINGERPRINTS)
     def send(self, token, fingerprint):
         key, issued = token
-        self.order += 1
+        self.step += 1
         permit = self.ledger.permit(key)
         terms = AtMostOnceTerms(INCARNATION, issued, permit, fingerprint)
-        return Copy(key, terms, self.order)
+        return Copy(key, terms, self.step)
 
     @rule(target=running, copy=copies)
     def receive(self, copy):
         verdict = self.ledger.open(self.now, copy.key, copy.terms)
         if verdict is not CallVerdict.FRESH:
             return ""
-        # Refused as not run: no copy sent before that may start any more.
-        assert copy.order > self.not_run_at.get(copy.key, 0)
+        # Once a call was reported as not run, no copy sent before may start.
+        assert copy.step > self.not_run_at.get(copy.key, 0)
         self.inputs[copy.key] = copy.terms.fingerprint
         return copy.key
 
@@ -93,26 +93,25 @@
 
     @rule(copy=copies)
     def withdraw(self, copy):
-        same = self.inputs.get(copy.key) in (None, copy.terms.fingerprint)
-        if self.ledger.state(copy.key) is CallState.QUEUED and same:
+        same_input = self.inputs.get(copy.key) in (None, copy.terms.fingerprint)
+        if self.ledger.state(copy.key) is CallState.QUEUED and same_input:
             self.ledger.discard(copy.key)
             self.inputs.pop(copy.key)
-        self.order += 1
+        self.step += 1
         verdict = self.ledger.withdraw(self.now, copy.key, copy.terms)
         if verdict is CallVerdict.WITHDRAWN:
             assert copy.key not in self.effects
-            self.not_run_at[copy.key] = max(
-                copy.order, self.not_run_at.get(copy.key, 0)
-            )
+            self.not_run_at[copy.key] = max(copy.step, self.not_run_at.get(copy.key, 0))
 
     @rule(copy=copies)
     def arrive_at_another_incarnation(self, copy):
-        other = CallLedger(INCARNATION + 1, CAPACITY, TTL_S)
+        other_ledger = CallLedger(INCARNATION + 1, CAPACITY, TTL_S)
         assert (
-            other.open(self.now, copy.key, copy.terms) is CallVerdict.OTHER_INCARNATION
+            other_ledger.open(self.now, copy.key, copy.terms)
+            is CallVerdict.OTHER_INCARNATION
         )
         assert (
-            other.withdraw(self.now, copy.key, copy.terms)
+            other_ledger.withdraw(self.now, copy.key, copy.terms)
             is CallVerdict.OTHER_INCARNATION
         )
 
@@ -131,10 +130,10 @@
 )
 
 
-def test_a_full_ledger_refuses_and_forgets_only_what_is_too_old():
+def test_a_full_ledger_rejects_calls_and_drops_only_expired_records():
     """
-    At the peak a sidecar's records are full. Making room by dropping the oldest
-    would let its repeat run again; a call that still runs stays however old.
+    Guards against a repeat that runs because its record was dropped to make room. Only
+    expired records of ended calls may be dropped; a running call's record stays.
     """
     ledger = CallLedger(INCARNATION, 2, TTL_S)
 
@@ -146,26 +145,27 @@
     assert ledger.open(0.0, "three", terms(0.0)) is CallVerdict.FULL
     ledger.started("one")
     ledger.ended("one")
-    late = TTL_S + KEEP_MARGIN_S + 1
-    assert ledger.open(late, "three", terms(late)) is CallVerdict.FRESH
-    assert ledger.open(late, "one", terms(0.0)) is CallVerdict.EXPIRED
+    after_expiry = TTL_S + KEEP_MARGIN_S + 1
+    assert ledger.open(after_expiry, "three", terms(after_expiry)) is CallVerdict.FRESH
+    assert ledger.open(after_expiry, "one", terms(0.0)) is CallVerdict.EXPIRED
     assert ledger.state("two") is CallState.QUEUED
 
 
 def test_an_early_handover_never_replaces_the_final_one():
     """
-    A sidecar hands its records over before it waits for a long call, and again as
-    it ends. A peer that only got the early set stops in turn and passes it on:
-    where it won, the long call's result would be unknown again.
+    Guards against a lost result. A sidecar hands its records over before it waits for
+    a long call, and again when it exits. A peer that received only the early records
+    passes them on when it stops. They must not replace the final records, in which the
+    long call's result is known.
     """
 
     def handover(status, final):
         call = HandedOverCall("one", "a", status, b"")
         return Handover("dispatch-1", INCARNATION, 1.0, TTL_S, (call,), final)
 
-    handed = ReceivedHandovers(1)
-    found = []
+    received = ReceivedHandovers(1)
+    statuses = []
     for status, final in (("unknown", False), ("finished", True), ("unknown", False)):
-        assert handed.take(0.0, handover(status, final))
-        found.append(handed.call(INCARNATION, "one").status)
-    assert found == ["unknown", "finished", "finished"]
+        assert received.take(0.0, handover(status, final))
+        statuses.append(received.call(INCARNATION, "one").status)
+    assert statuses == ["unknown", "finished", "finished"]
--- a/tests/at_most_once/test_links.py
+++ b/tests/at_most_once/test_links.py
@@ -1,4 +1,4 @@
-"""Links between entries and sidecars that break, stand still or lose bytes."""
+"""Links between entries and sidecars that break, stall or lose data."""
 
 import asyncio
 import secrets
@@ -14,7 +14,7 @@
     PIPELINE,
     effects,
     effects_deployment,
-    token,
+    new_token,
     wait_for,
     wait_for_calls_in_all,
 )
@@ -23,39 +23,39 @@
 
 DEADLINE_MS = 4000
 ORDERS = 4
-LATE = "order-on-a-held-link"
-LATE_MS = 3000
+STALLED_KEY = "order-on-a-held-link"
+STALLED_DEADLINE_MS = 3000
 
 
 @asynccontextmanager
 async def relayed_deployment(pools=("dispatch",), **options):
-    """Open a deployment whose entries have met all sidecars, through relays."""
+    """Open a deployment whose entries are connected to all sidecars through relays."""
     async with (
         effects_deployment(**options) as deployment,
         open_relays(deployment, *pools) as relays,
     ):
-        # Connected before the fault: the other way is a connection refused.
+        # Connect before the fault; afterwards connections would be refused.
         for number in range(len(deployment.entries)):
             for _ in range(2 * len(relays)):
-                await token(deployment, number)
+                await new_token(deployment, number)
         yield deployment, relays
 
 
-async def told(deployment, key, entry=0, **body):
-    """Send an order; return what its caller is told, ``answered`` or the outcome."""
+async def outcome_of(deployment, key, entry=0, **body):
+    """Send an order; return ``answered`` or the reported outcome."""
     response = await deployment.call(PIPELINE, ORDER, entry=entry, key=key, **body)
     document = await response.json()
     return "answered" if response.status == 200 else document["outcome"]
 
 
-async def answers_again(deployment, keys):
+async def repeat_until_answered(deployment, keys):
     """Repeat each key through each entry until it is answered; return the orders."""
     orders = {}
     for key in keys:
         for entry in range(len(deployment.entries)):
 
             async def answered(key=key, entry=entry):
-                return await told(deployment, key, entry) == "answered"
+                return await outcome_of(deployment, key, entry) == "answered"
 
             await wait_for(answered)
         response = await deployment.call(PIPELINE, ORDER, key=key)
@@ -66,19 +66,21 @@
 @pytest.mark.parametrize("fault", LinkFault)
 def test_a_link_that_fails_in_the_middle_of_an_order(fault):
     """
-    The switch between an entry and a sidecar fails while the truck is being
-    ordered: its answer is lost, or the connection breaks, or nothing comes through
-    for some time and then all of it. Whatever the callers were told in the
-    meantime, afterwards each order has one truck and its repeats are told which.
+    The link between an entry and a sidecar fails during a call: the reply is lost, the
+    connection breaks, or the link stalls and delivers everything later. Whatever was
+    reported meanwhile, each call must have exactly one effect afterwards, and its
+    repeats must get that result.
     """
 
     async def scenario():
         async with relayed_deployment(servers=1) as (deployment, relays):
             for pair in deployment.pool("dispatch"):
                 await deployment.set_knobs(pair.service, slow=0.5)
-            keys = ["order-1", await token(deployment)]
+            keys = ["order-1", await new_token(deployment)]
             sent = [
-                asyncio.create_task(told(deployment, key, deadline_ms=DEADLINE_MS))
+                asyncio.create_task(
+                    outcome_of(deployment, key, deadline_ms=DEADLINE_MS)
+                )
                 for key in keys
             ]
             await wait_for_calls_in_all(deployment, len(keys))
@@ -88,7 +90,7 @@
             for relay in relays.values():
                 relay.heal()
             assert "not_run" not in first
-            orders = await answers_again(deployment, keys)
+            orders = await repeat_until_answered(deployment, keys)
             assert len(set(orders.values())) == len(keys)
             assert len(await effects(deployment)) == len(keys)
 
@@ -97,9 +99,9 @@
 
 def test_an_order_that_a_link_delivers_late_is_not_run():
     """
-    A link stands still with an order on it. Its caller hears unknown, finds no truck
-    in the service's list and phones for one. When the link goes on, the order
-    arrives with seconds left by its own count: it must not send a second truck.
+    Guards against a call that runs long after its deadline. A link stalls with a call
+    in flight. When it delivers the call, the remaining time in the message has not
+    passed yet, but the sidecar must reject the call by its expiry time.
     """
 
     async def scenario():
@@ -107,66 +109,72 @@
             (pair,) = deployment.pool("dispatch")
             relay = relays[pair.id]
             relay.fail(LinkFault.HELD)
-            assert await told(deployment, LATE, deadline_ms=LATE_MS) == "unknown"
-            await wait_until_late(pair)
+            assert (
+                await outcome_of(
+                    deployment, STALLED_KEY, deadline_ms=STALLED_DEADLINE_MS
+                )
+                == "unknown"
+            )
+            await wait_until_expired(pair)
             relay.heal()
-            await answers_again(deployment, ["order-2"])
+            await repeat_until_answered(deployment, ["order-2"])
             recorded = [record["key"] for record in await effects(deployment)]
-            assert not any(LATE in key for key in recorded)
-            await answers_again(deployment, [LATE])
+            assert not any(STALLED_KEY in key for key in recorded)
+            await repeat_until_answered(deployment, [STALLED_KEY])
             assert len(await effects(deployment)) == 2
 
     run_wire(scenario())
 
 
-async def wait_until_late(pair):
-    """Return once no call that was sent before may start, by the sidecar's clock."""
+async def wait_until_expired(pair):
+    """Wait until calls sent before have expired by the sidecar's clock."""
     client = await connect_sidecar("127.0.0.1", pair.sidecar.ports["port"], 1.0)
-    late_s = (await client.load()).clock_s + LATE_MS / 1000 + LATE_MARGIN_S
-    while (await client.load()).clock_s < late_s:
+    expired_s = (
+        (await client.load()).clock_s + STALLED_DEADLINE_MS / 1000 + LATE_MARGIN_S
+    )
+    while (await client.load()).clock_s < expired_s:
         await asyncio.sleep(0.05)
     client.close()
 
 
-def test_a_region_that_is_lost_for_a_while_and_comes_back():
+def test_a_region_that_is_lost_temporarily():
     """
-    A region is cut off with the results of its orders, and its links swallow what
-    is sent. An entry that preferred it goes on ordering trucks elsewhere; what is
-    bound to the lost region is unknown, and answered once it is back. No order has
-    two trucks.
+    A region is cut off: its links discard all data. New calls must run in another
+    region. Calls bound to the lost region have the outcome unknown and must get their
+    results when the region is back. No call may have two effects.
     """
 
     async def scenario():
         both = ("roster", "dispatch")
         async with relayed_deployment(both, servers=3) as (deployment, relays):
-            lost = deployment.plan.regions[1].name
-            gone = [
+            lost_region = deployment.plan.regions[1].name
+            lost_relays = [
                 relay
                 for name, relay in relays.items()
-                if deployment.endpoints[name].region == lost
+                if deployment.endpoints[name].region == lost_region
             ]
-            before = await new_orders(deployment)
-            orders = await answers_again(deployment, before)
-            for relay in gone:
+            before = await new_keys(deployment)
+            orders = await repeat_until_answered(deployment, before)
+            for relay in lost_relays:
                 relay.fail(LinkFault.HALF_OPEN)
             during = [f"order-{secrets.token_hex(4)}"]
-            while await told(deployment, during[-1], 1) != "answered":
+            while await outcome_of(deployment, during[-1], 1) != "answered":
                 during.append(f"order-{secrets.token_hex(4)}")
             assert len(during) > 1
-            repeats = [await told(deployment, key) for key in before]
+            repeats = [await outcome_of(deployment, key) for key in before]
             assert set(repeats) == {"answered", "unknown"}
-            for relay in gone:
+            for relay in lost_relays:
                 relay.heal()
-            orders |= await answers_again(deployment, during)
-            again = await answers_again(deployment, before)
-            assert {key: orders[key] for key in before} == again
+            orders |= await repeat_until_answered(deployment, during)
+            repeated = await repeat_until_answered(deployment, before)
+            assert {key: orders[key] for key in before} == repeated
             recorded = [record["key"] for record in await effects(deployment)]
             assert len(recorded) == len(set(recorded)) == len(orders)
 
     run_async(scenario())
 
 
-async def new_orders(deployment):
-    """Return new keys of both kinds, tokens from each entry by turns."""
-    tokens = [await token(deployment, n % 2) for n in range(ORDERS)]
+async def new_keys(deployment):
+    """Return new tokens, issued by the entries in turn, and new keys."""
+    tokens = [await new_token(deployment, n % 2) for n in range(ORDERS)]
     return [*tokens, *(f"order-{secrets.token_hex(4)}" for _ in range(ORDERS))]
--- a/tests/at_most_once/test_refusals.py
+++ b/tests/at_most_once/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals before start, through real processes: not run is true, and final."""
+"""Calls rejected before they start: the outcome not run is true and final."""
 
 import asyncio
 
@@ -7,29 +7,29 @@
     PIPELINE,
     effects,
     effects_deployment,
-    set_dispatch,
-    token,
+    new_token,
+    set_dispatch_knobs,
     wait_for,
     wait_for_calls,
 )
-from tests.at_most_once.test_handover import greet
+from tests.at_most_once.test_handover import connect_all
 from tests.lifecycle.support import logged
 from tests.support import run_async
 
-LONG_MS = 60_000
+LONG_DEADLINE_MS = 60_000
 
 
-async def place(deployment, key, entry=0):
-    """Send an order with time enough; return its status and outcome."""
+async def send_order(deployment, key, entry=0):
+    """Send an order with a long deadline; return its status and outcome."""
     response = await deployment.call(
-        PIPELINE, ORDER, entry=entry, key=key, deadline_ms=LONG_MS
+        PIPELINE, ORDER, entry=entry, key=key, deadline_ms=LONG_DEADLINE_MS
     )
     document = await response.json()
     return response.status, document.get("outcome", "answered")
 
 
-def refused_before_start(deployment, cause):
-    """Whether a sidecar refused an attempt for a cause, by the entries' logs."""
+def rejected_before_start(deployment, cause):
+    """Return whether the entries have logged a rejected attempt with this cause."""
     return any(
         cause in line
         for entry in deployment.entries
@@ -39,9 +39,9 @@
 
 def test_a_sidecar_whose_records_are_full_runs_nothing():
     """
-    More orders come than a sidecar may keep on record. One that ran without a
-    record would run again when it is repeated; its caller must hear not run, and
-    the order that is on record keeps its result.
+    Guards against a call that runs without a record, and so would run again when it is
+    repeated. A sidecar whose record capacity is used up must reject new calls as not
+    run and keep the results that it has recorded.
     """
 
     async def scenario():
@@ -49,23 +49,23 @@
         async with effects_deployment(
             servers=1, sidecar_overrides=overrides
         ) as deployment:
-            keys = ["order-1", await token(deployment), "order-3"]
-            assert await place(deployment, keys[0]) == (200, "answered")
-            assert (await place(deployment, keys[1]))[1] == "not_run"
-            # Its seal is the only one that there is room for.
-            assert (await place(deployment, keys[2]))[1] == "unknown"
-            assert (await place(deployment, keys[1]))[1] == "not_run"
-            assert refused_before_start(deployment, "too many recent calls")
-            assert await place(deployment, keys[0], 1) == (200, "answered")
+            keys = ["order-1", await new_token(deployment), "order-3"]
+            assert await send_order(deployment, keys[0]) == (200, "answered")
+            assert (await send_order(deployment, keys[1]))[1] == "not_run"
+            # The withdrawal of keys[1] has filled the capacity for withdrawals.
+            assert (await send_order(deployment, keys[2]))[1] == "unknown"
+            assert (await send_order(deployment, keys[1]))[1] == "not_run"
+            assert rejected_before_start(deployment, "too many recent calls")
+            assert await send_order(deployment, keys[0], 1) == (200, "answered")
             assert len(await effects(deployment)) == 1
 
     run_async(scenario())
 
 
-def test_a_full_queue_refuses_what_it_never_runs():
+def test_a_full_queue_rejects_calls_that_never_run():
     """
-    The service is stuck, one order waits for it, and more come. They must hear not
-    run, and never start: their callers phone for a truck.
+    Guards against an outcome not run that becomes false later. The service is stuck and
+    the queue is full, so further calls are rejected as not run. They must never start.
     """
 
     async def scenario():
@@ -73,11 +73,11 @@
         async with effects_deployment(
             servers=1, sidecar_overrides=overrides
         ) as deployment:
-            refused = [await token(deployment) for _ in range(2)]
-            await set_dispatch(deployment, stuck=True)
-            held = [asyncio.create_task(place(deployment, "order-1"))]
+            rejected_keys = [await new_token(deployment) for _ in range(2)]
+            await set_dispatch_knobs(deployment, stuck=True)
+            pending = [asyncio.create_task(send_order(deployment, "order-1"))]
             pair = await wait_for_calls(deployment, 1)
-            held.append(asyncio.create_task(place(deployment, "order-2")))
+            pending.append(asyncio.create_task(send_order(deployment, "order-2")))
             url = f"http://127.0.0.1:{pair.sidecar.ports['http']}/metrics"
 
             async def queued():
@@ -85,39 +85,39 @@
                     return "amaranthtally_calls_queued 1" in await response.text()
 
             await wait_for(queued)
-            for key in refused:
-                assert (await place(deployment, key))[1] == "not_run"
-            assert refused_before_start(deployment, "queue full")
+            for key in rejected_keys:
+                assert (await send_order(deployment, key))[1] == "not_run"
+            assert rejected_before_start(deployment, "queue full")
             assert await effects(deployment) == []
-            for task in held:
+            for task in pending:
                 task.cancel()
-            await asyncio.gather(*held, return_exceptions=True)
+            await asyncio.gather(*pending, return_exceptions=True)
 
     run_async(scenario())
 
 
 def test_a_service_that_refuses_connections_has_run_nothing():
     """
-    A service is restarted and its port refuses for a while. The order was not run,
-    and the same key runs it once the service is back.
+    A service restarts and its port refuses connections for a while. The outcome of
+    calls is not run, and a repeat with the same key runs once the service is back.
     """
 
     async def scenario():
         async with effects_deployment(servers=1) as deployment:
-            await greet(deployment)
-            keys = ["order-1", await token(deployment)]
+            await connect_all(deployment)
+            keys = ["order-1", await new_token(deployment)]
             (pair,) = deployment.pool("dispatch")
             port = pair.service.ports["port"]
             await pair.service.kill()
             for key in keys:
-                assert (await place(deployment, key))[1] == "not_run"
-            assert refused_before_start(deployment, "endpoint unreachable")
+                assert (await send_order(deployment, key))[1] == "not_run"
+            assert rejected_before_start(deployment, "endpoint unreachable")
             pair.service = await deployment.start_standin_at(pair.id, "plain", port, {})
 
             for key in keys:
 
                 async def answered(key=key):
-                    return (await place(deployment, key, 1))[1] == "answered"
+                    return (await send_order(deployment, key, 1))[1] == "answered"
 
                 await wait_for(answered)
             assert len(await effects(deployment)) == len(keys)
--- a/tests/at_most_once/test_repeats.py
+++ b/tests/at_most_once/test_repeats.py
@@ -1,4 +1,4 @@
-"""The same key again: through another entry, at once, with another input."""
+"""Repeated keys: through another entry, concurrently, or with another input."""
 
 import asyncio
 
@@ -7,19 +7,19 @@
     PIPELINE,
     effects,
     effects_deployment,
-    set_dispatch,
-    token,
+    new_token,
+    set_dispatch_knobs,
     wait_for_call,
     wait_for_effects,
 )
 from tests.support import run_async
 
 
-def test_a_repeat_through_another_entry_finds_the_first_result():
+def test_a_repeat_through_another_entry_returns_the_first_result():
     """
-    A farmer's order is answered, the mechanic's tool repeats it, and two trucks
-    come. The repeat meets another entry, which prefers another endpoint; that
-    sidecar has no record of the key and runs it again.
+    Guards against two effects. The repeat of an answered call arrives at another entry,
+    which prefers another endpoint. That endpoint's sidecar has no record of the key and
+    would run the call again.
     """
 
     async def scenario():
@@ -35,13 +35,13 @@
 
 def test_a_token_finds_the_first_result_through_another_entry():
     """
-    As above, but the caller brings a token and the platform keeps no claim: the
-    token itself must carry the binding to the second entry.
+    As above, but with a token. The platform then stores no claim, so the token itself
+    must carry the binding to the second entry.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            key = await token(deployment)
+            key = await new_token(deployment)
             first = await deployment.call(PIPELINE, ORDER, entry=1, key=key)
             again = await deployment.call(PIPELINE, ORDER, entry=0, key=key)
             assert first.status == again.status == 200
@@ -51,10 +51,10 @@
     run_async(scenario())
 
 
-def test_two_entries_with_one_key_at_once_make_one_effect():
+def test_two_entries_with_one_key_at_once_cause_one_effect():
     """
-    A tool sends an order twice at once, to two entries. Both see no claim, both
-    choose an endpoint, and without compare-and-swap both run it.
+    Guards against two effects. The same call is sent to two entries concurrently. Both
+    see no claim and choose an endpoint; without compare-and-swap both would run it.
     """
 
     async def scenario():
@@ -76,22 +76,21 @@
 
 def test_a_key_with_another_input_is_refused():
     """
-    A caller reuses a key for another field by mistake and is told that its order
-    was carried out, though the truck went to the first field. The key alone was
-    compared, not what it stood for.
+    Guards against a wrong result. A caller reuses a key with another input by mistake.
+    If only the keys were compared, it would get the result of the first input.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            for key in ("order-1", await token(deployment)):
+            for key in ("order-1", await new_token(deployment)):
                 first = await deployment.call(PIPELINE, ORDER, key=key)
                 assert first.status == 200
                 for entry in (0, 1):
-                    other = await deployment.call(
+                    response = await deployment.call(
                         PIPELINE, {"to": "field 8"}, entry=entry, key=key
                     )
-                    document = await other.json()
-                    assert other.status == 422, document
+                    document = await response.json()
+                    assert response.status == 422, document
                     assert document["outcome"] == "not_run"
             assert len(await effects(deployment)) == 2
 
@@ -100,19 +99,19 @@
 
 def test_an_entry_killed_during_the_effect_and_a_repeat_through_another():
     """
-    An entry dies while the truck is being ordered; the caller's tool repeats the
-    order through the next entry. That entry must find the call that still runs.
+    Guards against two effects. An entry dies during a call, which is repeated through
+    another entry. That entry must find the running call and return its result.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await set_dispatch(deployment, slow=0.5)
-            lost = asyncio.create_task(
+            await set_dispatch_knobs(deployment, slow=0.5)
+            first = asyncio.create_task(
                 deployment.call(PIPELINE, ORDER, entry=1, key="order-1")
             )
             await wait_for_call(deployment)
             await deployment.entries[1].kill()
-            await asyncio.gather(lost, return_exceptions=True)
+            await asyncio.gather(first, return_exceptions=True)
             again = await deployment.call(PIPELINE, ORDER, entry=0, key="order-1")
             document = await again.json()
             assert again.status == 200, document
@@ -123,14 +122,13 @@
 
 def test_a_deadline_during_the_effect_then_the_result():
     """
-    The dispatch service is slow: the deadline passes while it orders the truck.
-    Saying that nothing ran would bring a second truck; the answer is unknown, and
-    a repeat gets the result of the first.
+    Guards against a false outcome not run. The deadline passes during a slow call, so
+    the outcome is unknown, and a repeat gets the result of the first call.
     """
 
     async def scenario():
         async with effects_deployment() as deployment:
-            await set_dispatch(deployment, slow=1.0)
+            await set_dispatch_knobs(deployment, slow=1.0)
             late = await deployment.call(
                 PIPELINE, ORDER, entry=0, key="order-1", deadline_ms=400
             )
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -13,7 +13,7 @@
     PIPELINE,
     effects,
     effects_deployment,
-    token,
+    new_token,
 )
 from tests.at_most_once.test_handover import place_orders, repeat_all
 from tests.lifecycle.model_support import DEADLINE_MS, by_model, model_plan
@@ -97,7 +97,7 @@
     """Send a request that does nothing lasting, so that the entry looks around."""
     name = next(iter(deployment.plan.settings)).removeprefix("pipeline:")
     if name == PIPELINE:
-        await token(deployment, number)
+        await new_token(deployment, number)
     else:
         await deployment.call(name, "claim", entry=number, deadline_ms=DEADLINE_MS)
 
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -1,4 +1,4 @@
-"""What one end of the inner protocol writes, the other end reads."""
+"""Round trips of messages through the codecs of the sidecar protocol."""
 
 import pytest
 
@@ -36,7 +36,7 @@
     revision=1 << 40,
     cache_serial=1 << 33,
 )
-ONCE = StageCall(
+AT_MOST_ONCE_CALL = StageCall(
     id=ID,
     account="farm",
     stage_name="dispatch",
@@ -48,25 +48,25 @@
 )
 
 
-@pytest.mark.parametrize("call", [CALL, ONCE])
-def test_a_call_is_read_as_it_was_written(call):
+@pytest.mark.parametrize("call", [CALL, AT_MOST_ONCE_CALL])
+def test_calls_round_trip(call):
     target = schema.StageCall.new_message()
     write_call(target, call)
     assert read_call(target.as_reader()) == call
 
 
 @pytest.mark.parametrize("status", Status)
-def test_a_reply_is_read_as_it_was_written(status):
+def test_replies_round_trip(status):
     models = ModelState(frozenset({"drafts@2", "drafts"}), "decode", "unloaded")
     load = Load(1 << 62, 1, 2, 3, True, 0.5, 0.25, 1 << 40, 8.125, models)
-    news = CacheUpdate(1 << 33, (1, 1 << 63), (2,), True)
-    reply = StageReply(ID, status, b"1", "why", 0.5, load, 0.125, 2.5, True, 6, news)
+    update = CacheUpdate(1 << 33, (1, 1 << 63), (2,), True)
+    reply = StageReply(ID, status, b"1", "why", 0.5, load, 0.125, 2.5, True, 6, update)
     target = schema.StageReply.new_message()
     write_reply(target, reply)
     assert read_reply(target.as_reader()) == reply
 
 
-def test_stream_parts_are_read_as_they_were_written():
+def test_stream_parts_round_trip():
     parts = [StreamPart(1, ID, 9, ["né ", "b "]), StreamPart(2, ID, 0, [""])]
 
     class Request:
