--- a/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -20,7 +20,7 @@
     Status,
 )
 
-__all__ = ["CallRunner", "AtMostOnceCalls"]
+__all__ = ["AtMostOnceCalls", "CallRunner"]
 
 MAX_OUTPUT_BYTES = 8 * 1024 * 1024
 NO_ID = CallId("", 0, 0)
@@ -106,7 +106,7 @@
         self._ledger.started(key)
         self._running[key] = self._records[key].waiters
 
-    def abandoned(self, wait_s: float) -> int:
+    def count_abandoned(self, wait_s: float) -> int:
         """
         Count the running calls that no entry has awaited for ``wait_s`` seconds.
 
@@ -135,7 +135,7 @@
 
     # Handovers at planned stops
 
-    def take(self, handover: Handover) -> bool:
+    def receive_handover(self, handover: Handover) -> bool:
         """Store a stopping peer's records; return false if there is no room."""
         return self._received.take(self._runner.clock_s, handover)
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/drain.py
@@ -57,9 +57,9 @@
         Reject new calls, announce this to the entries, and finish accepted calls.
 
         Idle entries get no replies that carry the load, and their next call would
-        fail at a closed connection, so the load is announced to each entry. At the
-        end the entries close their connections, so that replies that are still being
-        written are not lost.
+        fail at a closed connection, so the load is announced to each entry. Finally,
+        the sidecar waits for the entries to close their connections, because closing
+        them from this side could lose replies that are still being written.
         """
         self._handler.stop_accepting()
         await self._announce()
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/engine_cache.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/engine_cache.py
@@ -60,9 +60,9 @@
         blocks = prefix_blocks(salt, text, MAX_BLOCKS)
         self._index.record_prompt(_engine_block_names(salt, text, len(blocks)), blocks)
 
-    def update_since(self, after: int) -> CacheUpdate:
+    def update_since(self, serial: int) -> CacheUpdate:
         """Return the changes since the serial of an entry's last update."""
-        return self._index.update_since(after)
+        return self._index.update_since(serial)
 
     async def follow_events(self) -> None:
         """Read events by long polling until cancelled."""
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/engine_orders.py
@@ -11,7 +11,7 @@
 from amaranthtally.policy.model_orders import Load, Order, SetRole, Unload
 from amaranthtally.settings import ModelReference
 
-__all__ = ["EngineOrders", "LeaseGrant", "LeaseExpiredError", "OrderError", "boot_time"]
+__all__ = ["EngineOrders", "LeaseExpiredError", "LeaseGrant", "OrderError", "boot_time"]
 
 ORDER_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 2.0
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -41,7 +41,7 @@
 INCARNATION_BITS = 63
 TOMBSTONE_CAPACITY = 10_000
 # Added to the timer that drops queued calls, in seconds: a timer may fire slightly
-# early, when the call can not be dropped yet.
+# early, when the call cannot be dropped yet.
 DROP_TIMER_MARGIN_S = 0.001
 
 log = get_logger()
@@ -77,10 +77,11 @@
         )
         self._handover_keys = KeyRing(settings.handover_keys)
         self._tombstones = Tombstones(TOMBSTONE_CAPACITY)
-        self._starts: dict[int, asyncio.Future[bool]] = {}
+        # By call serial: resolves to whether the call may start or is dropped.
+        self._start_futures: dict[int, asyncio.Future[bool]] = {}
         self._queued: dict[CallId, QueuedCall] = {}
         self._drop_timer: asyncio.TimerHandle | None = None
-        self._serial = 0
+        self._last_serial = 0
         self._stopping = False
         self._draining = False
         self._loop = asyncio.get_running_loop()
@@ -88,9 +89,9 @@
 
     @property
     def unfinished(self) -> int:
-        """Number of unfinished calls, without the running ones that were abandoned."""
+        """Number of queued and running calls, except abandoned running calls."""
         calls = self._queue.running + self._queue.queued
-        return calls - self._at_most_once.abandoned(self._settings.abandoned_wait)
+        return calls - self._at_most_once.count_abandoned(self._settings.abandoned_wait)
 
     @property
     def clock_s(self) -> float:
@@ -166,7 +167,7 @@
         if self._stopping:
             return False
         handover = read_handover(body, signature, self._handover_keys)
-        return handover is not None and self._at_most_once.take(handover)
+        return handover is not None and self._at_most_once.receive_handover(handover)
 
     def handovers(self, final: bool) -> list[Handover]:
         """
@@ -203,8 +204,8 @@
         if queued is None:
             return False
         # A call that the queue has started stays in ``_queued`` until its task runs,
-        # but is no longer in ``_starts``.
-        start = self._starts.pop(queued.serial, None)
+        # but is no longer in ``_start_futures``.
+        start = self._start_futures.pop(queued.serial, None)
         if start is None:
             return False
         self._tombstones.add(call_id)
@@ -219,12 +220,14 @@
 
     async def _run_queued(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         arrived = self._loop.time()
-        self._serial += 1
-        queued = QueuedCall(call.priority, arrived + call.remaining_s, self._serial)
+        self._last_serial += 1
+        queued = QueuedCall(
+            call.priority, arrived + call.remaining_s, self._last_serial
+        )
         if not self._queue.offer(arrived, queued):
             return self.not_run(call.id, "queue full, or too little time left")
         start = self._loop.create_future()
-        self._starts[queued.serial] = start
+        self._start_futures[queued.serial] = start
         self._queued[call.id] = queued
         self._start_next()
         try:
@@ -237,7 +240,7 @@
         finally:
             self._queued.pop(call.id, None)
         if not may_start:
-            return self.not_run(call.id, "dropped: can not finish before its deadline")
+            return self.not_run(call.id, "dropped: cannot finish before its deadline")
         if not call.repeatable:
             self._at_most_once.started(call.call_key)
         # The time-out is the time that remains now. If it were counted from the call's
@@ -281,9 +284,9 @@
     def _start_next(self) -> None:
         now = self._loop.time()
         for dropped in self._queue.dropped(now):
-            self._starts.pop(dropped.serial).set_result(False)
+            self._start_futures.pop(dropped.serial).set_result(False)
         while (queued := self._queue.next_call(now)) is not None:
-            self._starts.pop(queued.serial).set_result(True)
+            self._start_futures.pop(queued.serial).set_result(True)
         self._schedule_next_drop()
 
     def _schedule_next_drop(self) -> None:
@@ -304,7 +307,7 @@
             )
 
     def _leave_queue(self, queued: QueuedCall) -> None:
-        if self._starts.pop(queued.serial, None) is not None:
+        if self._start_futures.pop(queued.serial, None) is not None:
             self._queue.withdraw(queued)
             return
         self._queue.released()
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
@@ -30,8 +30,9 @@
     """
     Send each set of records to two peers of the endpoint that it comes from.
 
-    Unreachable peers do not delay the shutdown: the next peer in rank is used instead.
-    If no peer accepts the records, repeats of the calls are answered with ``unknown``.
+    A peer that cannot be reached is replaced by the next in rank, and the handover as a
+    whole is limited in time, so that it does not hold up the shutdown. If no peer stores
+    the records, repeats of the calls are answered with ``unknown``.
     """
     if not keys:
         log.warning("handover_skipped", cause="no handover_keys in the settings")
@@ -53,7 +54,7 @@
     peers = iter([peer for peer in ranked if peer.id != sender])
     # The copies are sent concurrently, so that a frozen peer delays only one of them.
     stored = await asyncio.gather(
-        *(_send_to_next(handover, peers, keys) for _ in range(COPY_COUNT))
+        *(_send_to_first_available(handover, peers, keys) for _ in range(COPY_COUNT))
     )
     log.info(
         "records_handed_over",
@@ -64,7 +65,7 @@
     )
 
 
-async def _send_to_next(
+async def _send_to_first_available(
     handover: Handover, peers: Iterator[Endpoint], keys: KeyRing
 ) -> bool:
     for peer in peers:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -91,8 +91,8 @@
         try:
             plan = await self._plan()
         except OrderError as error:
-            return self._failed(str(error))
-        succeeded = [await self._try(order) for order in plan.orders]
+            return self._record_failure(str(error))
+        succeeded = [await self._try_order(order) for order in plan.orders]
         if succeeded:
             await self._refresh_served()
         if not all(succeeded):
@@ -121,7 +121,9 @@
         )
         self._models.apply(plan)
         if plan.blocked_reason:
-            self._note(f"{plan.blocked_reason}; raise model_slots or remove a model")
+            self._set_last_order(
+                f"{plan.blocked_reason}; raise model_slots or remove a model"
+            )
         if self._models.served != before:
             await self._announce()
         return plan
@@ -135,11 +137,11 @@
 
     # One order
 
-    async def _try(self, order: Order) -> bool:
+    async def _try_order(self, order: Order) -> bool:
         try:
             await self._execute(order)
         except (OrderError, WeightsError, LeaseNotHeldError) as error:
-            self._failed(f"{_text(order)} failed: {error}")
+            self._record_failure(f"{_text(order)} failed: {error}")
             return False
         return True
 
@@ -160,17 +162,17 @@
                 return
             await self._engine.send(order, grant)
         log.info("model_ordered", **_log_fields(order), fencing=grant.fencing)
-        self._note(f"{_text(order)}: done")
+        self._set_last_order(f"{_text(order)}: done")
 
     # Outcomes
 
-    def _failed(self, cause: str) -> float:
+    def _record_failure(self, cause: str) -> float:
         self._retry_s = min(RECONCILE_INTERVAL_S, 2 * self._retry_s)
         log.warning("model_order_failed", cause=cause)
-        self._note(cause)
+        self._set_last_order(cause)
         return self._retry_s
 
-    def _note(self, outcome: str) -> None:
+    def _set_last_order(self, outcome: str) -> None:
         self._models.last_order = outcome
 
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/order_lease.py
@@ -34,7 +34,7 @@
 
 
 class LeaseNotHeldError(Exception):
-    """Another process holds the lease, or the platform can not be reached."""
+    """Another process holds the lease, or the platform cannot be reached."""
 
 
 class OrderLease:
@@ -59,7 +59,7 @@
         Raises ``LeaseNotHeldError``.
         """
         requested_at = boot_time()
-        session = _value(await self._leases.open_session(self._ttl))
+        session = _unwrap(await self._leases.open_session(self._ttl))
         try:
             fencing = await self._acquire_number(session, revision)
             yield LeaseGrant(fencing, requested_at + self._ttl * (1 - MARGIN_SHARE))
@@ -67,8 +67,8 @@
             await self._leases.close_session(session)
 
     async def _acquire_number(self, session: str, revision: int) -> int:
-        stored = _value(await self._leases.read(self._key))
-        last = _fence(stored.value)
+        stored = _unwrap(await self._leases.read(self._key))
+        last = _decode_fence(stored.value)
         # A holder that was paused and replaced resumes with old settings. It would
         # acquire the lease again and unload what its successor has just loaded. Orders
         # of newer settings must not be undone by orders of older ones.
@@ -85,20 +85,20 @@
         ):
             # The write may have taken effect. This holder has the number if the stored
             # value is its own; a value of an earlier attempt has a lower number.
-            current = _fence(_value(await self._leases.read(self._key)).value)
+            current = _decode_fence(_unwrap(await self._leases.read(self._key)).value)
             if current != own_fence:
                 raise LeaseNotHeldError("another process acquired the lease")
             return own_fence.fencing
-        if not _value(acquired):
+        if not _unwrap(acquired):
             raise LeaseNotHeldError("another process holds the lease")
         return own_fence.fencing
 
 
-def _fence(value: bytes) -> _Fence:
+def _decode_fence(value: bytes) -> _Fence:
     return msgspec.json.decode(value, type=_Fence) if value else _Fence()
 
 
-def _value(result: Result[ValueT, PlatformError]) -> ValueT:
+def _unwrap(result: Result[ValueT, PlatformError]) -> ValueT:
     if isinstance(result, Err):
         raise LeaseNotHeldError(str(result.err_value))
     return result.ok_value
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_cache_index.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/prefix_cache_index.py
@@ -8,7 +8,7 @@
 
 __all__ = ["EngineEvent", "PrefixCacheIndex"]
 
-MAX_NAMES = 8_192
+MAX_BLOCK_NAMES = 8_192
 MAX_CHANGES = 1_024
 MAX_UPDATE_BLOCKS = 64
 
@@ -46,6 +46,7 @@
         self._cached: OrderedDict[int, None] = OrderedDict()
         self._changes: deque[_Change] = deque(maxlen=MAX_CHANGES)
         self._serial = 0
+        # The lowest serial after which all changes are in the log.
         self._log_start = 0
         self._epoch = ""
         self._last_event = 0
@@ -68,7 +69,7 @@
         for name, block in zip(names, blocks, strict=False):
             self._blocks_by_name[name] = block
             self._blocks_by_name.move_to_end(name)
-        while len(self._blocks_by_name) > MAX_NAMES:
+        while len(self._blocks_by_name) > MAX_BLOCK_NAMES:
             _, block = self._blocks_by_name.popitem(last=False)
             # Without its name, a removal of the block could not be recognised.
             self._remove(block)
--- a/packages/wire/src/amaranthtally/wire/__init__.py
+++ b/packages/wire/src/amaranthtally/wire/__init__.py
@@ -31,6 +31,7 @@
 )
 
 __all__ = [
+    "AtMostOnceTerms",
     "CacheUpdate",
     "CallId",
     "ChunkHandler",
@@ -38,14 +39,13 @@
     "ChunksHandler",
     "EntryConnections",
     "HelloReply",
-    "OutcomeQuery",
     "Load",
     "ModelState",
-    "AtMostOnceTerms",
+    "OutcomeQuery",
     "PeerLostError",
     "ReplyMismatchError",
-    "SettingsFetcher",
     "SettingsDelta",
+    "SettingsFetcher",
     "SettingsSource",
     "SidecarClient",
     "SidecarHandler",
--- a/packages/wire/src/amaranthtally/wire/client.py
+++ b/packages/wire/src/amaranthtally/wire/client.py
@@ -75,7 +75,7 @@
 
         ``on_load`` receives each load that the sidecar pushes.
         """
-        response = await self._guard(
+        response = await self._await_response(
             self._sidecar.hello(
                 entry=entry,
                 revision=revision,
@@ -106,7 +106,7 @@
     async def _run(self, call_id: CallId, request: Any) -> StageReply:
         self._pending_calls += 1
         try:
-            response = await self._guard(request.send())
+            response = await self._await_response(request.send())
         finally:
             self._pending_calls -= 1
         return self._check(call_id, read_reply(response.reply))
@@ -115,45 +115,45 @@
         """Cancel a call; the reply is ``NOT_RUN`` if it had not started."""
         request = self._sidecar.cancel_request()
         write_call_id(request.id, call_id)
-        response = await self._guard(request.send())
+        response = await self._await_response(request.send())
         return self._check(call_id, read_reply(response.reply))
 
     async def query_outcome(
-        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+        self, call_key: str, terms: AtMostOnceTerms, query: OutcomeQuery
     ) -> StageReply:
         """Query the outcome of an at-most-once call."""
         request = self._sidecar.inquire_request()
         request.callKey = call_key
         write_terms(request.terms, terms)
-        request.inquiry = inquiry.value
+        request.inquiry = query.value
         self._pending_calls += 1
         try:
-            response = await self._guard(request.send())
+            response = await self._await_response(request.send())
         finally:
             self._pending_calls -= 1
         return read_reply(response.reply)
 
     async def hand_over(self, body: bytes, signature: bytes) -> bool:
         """Hand over signed records; return whether the sidecar stored them."""
-        response = await self._guard(
+        response = await self._await_response(
             self._sidecar.handOver(body=body, signature=signature)
         )
         return bool(response.taken)
 
     async def load(self) -> Load:
         """Read the sidecar's load."""
-        response = await self._guard(self._sidecar.load())
+        response = await self._await_response(self._sidecar.load())
         return read_load(response.load)
 
     async def changes_since(self, revision: int) -> SettingsDelta:
         """Read the sidecar's settings changes after ``revision``."""
         return read_settings_delta(
-            await self._guard(self._sidecar.changesSince(revision))
+            await self._await_response(self._sidecar.changesSince(revision))
         )
 
     async def announce_revision(self, revision: int, source: SettingsSource) -> int:
         """Announce the revision of ``source``; return the sidecar's revision."""
-        response = await self._guard(
+        response = await self._await_response(
             self._sidecar.announce(revision=revision, source=settings_server(source))
         )
         return int(response.revision)
@@ -174,7 +174,7 @@
             raise ReplyMismatchError(self._peer, call_id, reply.id)
         return reply
 
-    async def _guard(self, promise: Any) -> Any:
+    async def _await_response(self, promise: Any) -> Any:
         try:
             return await promise
         except capnp.KjException as error:
--- a/packages/wire/src/amaranthtally/wire/documents.py
+++ b/packages/wire/src/amaranthtally/wire/documents.py
@@ -14,8 +14,8 @@
     "MalformedDocumentError",
     "PartRequest",
     "Record",
-    "encode_records",
     "decode_records",
+    "encode_records",
 ]
 
 # Size of a part in bytes: a slow link of 5 Mbit/s transfers it in 26 ms.
--- a/packages/wire/src/amaranthtally/wire/gateway_codec.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_codec.py
@@ -23,14 +23,14 @@
     "read_jobs",
     "read_part",
     "read_part_request",
-    "read_results",
     "read_reports",
+    "read_results",
     "read_versions",
     "write_jobs",
     "write_part",
     "write_part_request",
-    "write_results",
     "write_reports",
+    "write_results",
     "write_versions",
 ]
 
--- a/packages/wire/src/amaranthtally/wire/load_codec.py
+++ b/packages/wire/src/amaranthtally/wire/load_codec.py
@@ -11,7 +11,7 @@
 )
 from amaranthtally.wire.messages import NO_CACHE_UPDATE, CacheUpdate, Load, ModelState
 
-__all__ = ["read_load", "read_cache_update", "write_load", "write_cache_update"]
+__all__ = ["read_cache_update", "read_load", "write_cache_update", "write_load"]
 
 
 def write_load(target: Any, load: Load) -> None:
--- a/packages/wire/src/amaranthtally/wire/messages.py
+++ b/packages/wire/src/amaranthtally/wire/messages.py
@@ -5,15 +5,15 @@
 from enum import Enum
 
 __all__ = [
+    "AtMostOnceTerms",
     "CacheUpdate",
     "CallId",
     "ChunkHandler",
     "ChunksHandler",
     "HelloReply",
-    "OutcomeQuery",
     "Load",
     "ModelState",
-    "AtMostOnceTerms",
+    "OutcomeQuery",
     "SettingsDelta",
     "StageCall",
     "StageReply",
@@ -80,9 +80,10 @@
     ``service_s`` is the smoothed service time of a call at the endpoint and
     ``backlog_s`` the predicted queueing delay of a new call, both in seconds.
     ``incarnation`` is a random number drawn at each start of the sidecar; ``clock_s``
-    is the number of seconds since that start. ``models`` is ``None`` if the endpoint
-    accepts calls for any model. ``ended_calls`` is not sent: an entry sets it locally
-    to the number of its own calls whose replies carried this load.
+    is the number of seconds since that start. ``leaving`` is true while the sidecar
+    accepts no new calls. ``models`` is ``None`` if it accepts calls for any model.
+    ``ended_calls`` is not sent: an entry sets it locally to the number of its own calls
+    whose replies carried this load.
     """
 
     incarnation: int = 0
@@ -122,8 +123,8 @@
     """
     Prompt blocks that an engine's prefix cache stored and removed since a serial.
 
-    ``reset`` means that the receiver must discard all blocks it knew before. A
-    ``serial`` of 0 means that the message carries no update.
+    ``serial`` is the serial of the latest change; 0 means that the message carries no
+    update. ``reset`` means that the receiver must discard all blocks it knew before.
     """
 
     serial: int = 0
@@ -138,7 +139,7 @@
 @dataclass(frozen=True, slots=True)
 class StageCall:
     """
-    A request to run a stage. ``remaining_s`` is the time until its deadline.
+    A request to run a stage; ``remaining_s`` is the time to its deadline, in seconds.
 
     A call with ``repeatable`` false is an at-most-once call: its effect must not
     happen twice. It carries the ``terms`` under which it may run and a ``call_key``
--- a/packages/wire/src/amaranthtally/wire/server.py
+++ b/packages/wire/src/amaranthtally/wire/server.py
@@ -78,7 +78,7 @@
         """Cancel a call, and refuse a copy of it that arrives later."""
 
     async def query_outcome(
-        self, call_key: str, terms: AtMostOnceTerms, inquiry: OutcomeQuery
+        self, call_key: str, terms: AtMostOnceTerms, query: OutcomeQuery
     ) -> StageReply:
         """Return the outcome of an at-most-once call."""
 
@@ -204,7 +204,11 @@
 def entry_server(
     source: SettingsSource, on_load: LoadHandler, streams: OpenStreams
 ) -> Any:
-    """Return the capability with which a sidecar reads settings and pushes updates."""
+    """
+    Return the capability that an entry gives to a sidecar.
+
+    The sidecar reads the settings of ``source`` and sends loads and chunks through it.
+    """
     return _EntryServer(source, on_load, streams)
 
 
--- a/tests/at_most_once/test_faults.py
+++ b/tests/at_most_once/test_faults.py
@@ -184,9 +184,9 @@
 
 def test_a_platform_outage_rejects_caller_keys_and_serves_tokens():
     """
-    During an outage of the platform a call with a key chosen by the caller can not be
+    During an outage of the platform a call with a key chosen by the caller cannot be
     claimed and is rejected with a Retry-After header. An earlier attempt may have run
-    it, as for order-0 here, and the entry can not tell, so the outcome is unknown.
+    it, as for order-0 here, and the entry cannot tell, so the outcome is unknown.
     Calls with tokens need no claim and are served.
     """
 
