--- a/bench/light_fleet.py
+++ b/bench/light_fleet.py
@@ -15,7 +15,7 @@
 from amaranthtally.daemon.entry.change_store import ChangeStore
 from amaranthtally.daemon.entry.log_follower import LogFollower
 from amaranthtally.daemon.entry.snapshots import SnapshotStore
-from amaranthtally.daemon.lifecycle import run_beside, stop_on_signal
+from amaranthtally.daemon.lifecycle import run_in_background, stop_on_signal
 from amaranthtally.daemon.logs import configure_logs
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.daemon.settings_sync import (
@@ -38,7 +38,7 @@
         return self._sync.changes_since(revision)
 
     def announce_revision(self, revision, fetch):
-        self._sync.heard(revision, fetch)
+        self._sync.note_revision(revision, fetch)
         return self._sync.revision
 
 
@@ -53,7 +53,7 @@
     def in_force(tree):
         write(event="in_force", node=name, revision=tree.revision, at=time.time())
 
-    state.listen(in_force)
+    state.add_listener(in_force)
     return state
 
 
@@ -63,14 +63,14 @@
     follower = LogFollower(ChangeStore(client), SnapshotStore(client), state)
     sync = SettingsSync(name, state, ENTRY_LINKS)
     stack.push_async_callback(sync.close)
-    run_beside(stack, follower.follow())
-    run_beside(stack, sync.run())
+    run_in_background(stack, follower.follow())
+    run_in_background(stack, sync.run())
 
 
 async def open_sidecar(name, stack):
     sync = SettingsSync(name, open_state(name), SIDECAR_LINKS)
     stack.push_async_callback(sync.close)
-    run_beside(stack, sync.run())
+    run_in_background(stack, sync.run())
     port = await stack.enter_async_context(
         serve_sidecar(LightSidecar(sync), "127.0.0.1", 0)
     )
--- a/bench/settings_size.py
+++ b/bench/settings_size.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 
 from amaranthtally.daemon.entry.pipelines import PolicySettingsBuilder
-from amaranthtally.daemon.settings_links import choose_links, linked_endpoints
+from amaranthtally.daemon.settings_links import choose_links, endpoint_registrations
 from amaranthtally.daemon.settings_sync import SIDECAR_LINKS
 from amaranthtally.policy import Planner, PolicySettings
 from amaranthtally.settings import Change, ChangeLog, Op, Scope, SettingsView, check_ops
-from amaranthtally.settings.log import decode_change, encode_change
-from amaranthtally.settings.snapshot import cut_snapshot, decode_tree
+from amaranthtally.settings.change_log import decode_change, encode_change
+from amaranthtally.settings.snapshot import decode_tree, split_snapshot
 
 PIPELINES = 7
 STAGES = 5
@@ -73,7 +73,7 @@
     parser.add_argument("--endpoints", type=int, default=11_000)
     parser.add_argument("--accounts", type=int, default=940)
     arguments = parser.parse_args()
-    first = cut_snapshot(fresh(arguments).tree)
+    first = split_snapshot(fresh(arguments).tree)
     before = resident()
     tree = decode_tree(b"".join(first.parts))
     grown = resident() - before
@@ -86,14 +86,14 @@
     model = Op("account:a1/pipeline:p0", "stage.s0.model", "m-2")
     register = Op("firm", "endpoint.e1", {**tree.get(Scope(), "endpoint.e2")})
     timed("fold of a change", lambda: tree.apply([op]))
-    endpoints = linked_endpoints(tree)
-    timed("endpoints, compared", lambda: linked_endpoints(tree) == endpoints)
+    endpoints = endpoint_registrations(tree)
+    timed("endpoints, compared", lambda: endpoint_registrations(tree) == endpoints)
     timed("links, chosen", lambda: choose_links(endpoints, "e1", SIDECAR_LINKS))
     timed("view of an entry", lambda: SettingsView(tree))
     timed("check of a limit", lambda: check_ops(tree, [op]))
     timed("check of a model", lambda: check_ops(tree, [model]))
     timed("check of a registration", lambda: check_ops(tree, [register]))
-    timed("snapshot, encode", lambda: cut_snapshot(tree))
+    timed("snapshot, encode", lambda: split_snapshot(tree))
     timed("snapshot, decode", lambda: decode_tree(b"".join(first.parts)))
 
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/audit.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/audit.py
@@ -52,8 +52,8 @@
         blocks on the platform: an id or a name that is rare is not looked for
         through the whole log.
         """
-        log = self._state.log
-        found = [c for c in reversed(log.newest_changes()) if wanted.matches(c)]
+        log = self._state.change_log
+        found = [c for c in reversed(log.retained_changes()) if wanted.matches(c)]
         last = log.oldest - 1
         if wanted.before:
             last = min(last, wanted.before - 1)
--- a/packages/daemon/src/amaranthtally/daemon/entry/callers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/callers.py
@@ -28,7 +28,7 @@
     truthful,
 )
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.daemon.prompts import arrival_prefix
+from amaranthtally.daemon.prompts import input_prefix_blocks
 from amaranthtally.policy import Arrival, Pipeline
 from amaranthtally.settings import SettingsView
 
@@ -230,7 +230,7 @@
             deadline=received + checked.deadline_s,
             input_bytes=len(raw),
             streaming=checked.body.stream,
-            prefix=arrival_prefix(
+            prefix=input_prefix_blocks(
                 checked.account,
                 checked.pipeline,
                 checked.body.input,
--- a/packages/daemon/src/amaranthtally/daemon/entry/committer.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/committer.py
@@ -27,7 +27,7 @@
     encode_change,
     find_overlap,
     undo_ops,
-    with_before,
+    with_previous_values,
 )
 from amaranthtally.settings.models import Served
 
@@ -116,7 +116,7 @@
             log.warning("change_refused", who=proposal.who, cause=str(done.err_value))
             return done
         if done.ok_value is None:
-            newest = self._state.log.newest_changes()[-1]
+            newest = self._state.change_log.retained_changes()[-1]
             return Err(ChangeConflict(newest, ()))
         return Ok(done.ok_value)
 
@@ -140,7 +140,7 @@
 
     async def find(self, number: int) -> Result[Change | None, PlatformError]:
         """Return a change by its number, from the platform if it is old."""
-        kept = self._state.log.find(number)
+        kept = self._state.change_log.find(number)
         if kept is not None:
             return Ok(kept)
         return await self._changes.read_change(number)
@@ -186,7 +186,7 @@
         if isinstance(written, Err):
             return written
         stored = written.ok_value
-        self._state.take([stored], "commit")
+        self._state.apply_changes([stored], "commit")
         if stored.id != change.id:
             return Ok(None)
         log.info("change_committed", number=change.number, id=change.id, who=change.who)
@@ -210,8 +210,8 @@
 
     async def _changes_after(self, base: int) -> Result[list[Change], CommitError]:
         revision = self._state.revision
-        if base + 1 >= self._state.log.oldest:
-            kept = self._state.log.newest_changes() if base < revision else []
+        if base + 1 >= self._state.change_log.oldest:
+            kept = self._state.change_log.retained_changes() if base < revision else []
             return Ok([change for change in kept if change.number > base])
         if revision - base > BLOCK:
             detail = f"revision {base} is old; read the settings again"
@@ -221,7 +221,7 @@
     def _known(self, change_id: str) -> Change | None:
         if not change_id:
             return None
-        kept = self._state.log.newest_changes()
+        kept = self._state.change_log.retained_changes()
         return next((change for change in kept if change.id == change_id), None)
 
     def _change(self, proposal: Proposal) -> Change:
@@ -231,7 +231,7 @@
             who=proposal.who,
             when=datetime.now(UTC).isoformat(timespec="milliseconds"),
             why=proposal.why,
-            ops=with_before(self._state.tree, proposal.ops),
+            ops=with_previous_values(self._state.tree, proposal.ops),
         )
 
     # After the commit
--- a/packages/daemon/src/amaranthtally/daemon/entry/initial_settings.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/initial_settings.py
@@ -31,7 +31,7 @@
         gaps = await asyncio.gather(*(_ask(peer, timeout) for peer in peers))
         newest = max(gaps, key=lambda gap: gap.revision, default=SettingsDelta(0))
         if newest.revision > 0:
-            state.take_gap(newest, "peer")
+            state.apply_delta(newest, "peer")
             state.loaded.set()
             log.info("settings_from_peers", revision=state.revision, asked=len(peers))
             return
--- a/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/log_follower.py
@@ -71,18 +71,18 @@
         if head.number <= revision:
             return Ok(None)
         if head.change is not None and head.number == revision + 1:
-            self._state.take([head.change], SOURCE)
+            self._state.apply_changes([head.change], SOURCE)
             return Ok(None)
         if head.number - revision > BLOCK:
             snapshot = await self._snapshots.read()
             if isinstance(snapshot, Err):
                 return snapshot
             if snapshot.ok_value is not None:
-                self._state.take_tree(snapshot.ok_value, "snapshot")
+                self._state.apply_tree(snapshot.ok_value, "snapshot")
         changes = await self._changes.read_changes(self._state.revision, head.number)
         if isinstance(changes, Err):
             return changes
-        self._state.take(changes.ok_value, SOURCE)
+        self._state.apply_changes(changes.ok_value, SOURCE)
         return Ok(None)
 
     def note(self, step: Result[LogHead, PlatformError]) -> None:
@@ -130,8 +130,8 @@
                 return found
             if found.ok_value is None:
                 break
-            self._state.take([found.ok_value], SOURCE)
-        newest = self._state.log.find(self._state.revision)
+            self._state.apply_changes([found.ok_value], SOURCE)
+        newest = self._state.change_log.find(self._state.revision)
         if newest is None:
             return Ok(None)
         return await self._changes.advance_head(newest, head)
--- a/packages/daemon/src/amaranthtally/daemon/entry/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/service.py
@@ -34,7 +34,7 @@
 from amaranthtally.daemon.lifecycle import (
     StopSignal,
     open_http,
-    run_beside,
+    run_in_background,
     serve_http,
     stop_on_signal,
 )
@@ -112,7 +112,7 @@
         inquirer.note_load(endpoint, load)
         client = peers.live_client(endpoint)
         if client is not None:
-            parts.sync.heard(load.revision, client.changes_since)
+            parts.sync.note_revision(load.revision, client.changes_since)
 
     peers = Peers(
         settings.name,
@@ -139,7 +139,7 @@
         settings.stall_timeout,
         settings.prefix_blocks,
     )
-    state.listen(on_change)
+    state.add_listener(on_change)
     first = load_from_peers(
         settings.peers, state, parts.follower, settings.connect_timeout
     )
@@ -156,7 +156,7 @@
         probe_endpoints(membership, peers, lambda: executor.endpoints),
         sweeper.run(),
     ):
-        run_beside(stack, work)
+        run_in_background(stack, work)
 
     def ready() -> bool:
         return state.loaded.is_set() and not stop.is_set()
@@ -171,7 +171,7 @@
             platform="connected" if parts.follower.connected else "lost",
             in_flight=executor.in_flight,
             endpoints=len(executor.endpoints),
-            oldest_change=state.log.oldest,
+            oldest_change=state.change_log.oldest,
         )
 
     app = web.Application(client_max_size=settings.max_body_bytes)
--- a/packages/daemon/src/amaranthtally/daemon/entry/snapshots.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/snapshots.py
@@ -15,8 +15,8 @@
     Snapshot,
     SnapshotPointer,
     Tree,
-    cut_snapshot,
     join_snapshot,
+    split_snapshot,
 )
 
 __all__ = ["KEPT_BLOCKS", "SnapshotStore"]
@@ -64,7 +64,7 @@
         block = tree.revision // BLOCK
         if old.block >= block:
             return Ok(False)
-        snapshot = cut_snapshot(tree)
+        snapshot = split_snapshot(tree)
         failed = await self._write_parts(block, snapshot)
         if failed is not None:
             return Err(failed)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -38,11 +38,11 @@
 from amaranthtally.daemon.gateway.store_sync import StoreSync
 from amaranthtally.daemon.gateway.transfer_reporter import TransferReporter
 from amaranthtally.daemon.gateway.version_gossip import VersionGossip
-from amaranthtally.daemon.health import answer_scrape
+from amaranthtally.daemon.health import metrics_response
 from amaranthtally.daemon.lifecycle import (
     ReloadSignal,
     StopSignal,
-    run_beside,
+    run_in_background,
     split_address,
     stop_on_signal,
 )
@@ -98,7 +98,7 @@
     """Serve callers until a stop signal, then finish the requests in flight."""
     async with AsyncExitStack() as stack:
         await stack.enter_async_context(capnp.kj_loop())
-        stack.enter_context(reloads.taken_by(lambda: _reload(path)))
+        stack.enter_context(reloads.handled_by(lambda: _reload(path)))
         stop = stack.enter_context(stop_on_signal())
         gateway = await _start(settings, stack, stop, writer)
         log.info("listening", role="gateway", name=settings.name, **gateway.ports)
@@ -185,9 +185,9 @@
         peer_updater.prober.run(),
         executor.tick(),
         connections.run_heartbeat(lambda: executor.peers_to_probe),
-        writer.keep_draining(),
+        writer.flush_periodically(),
     ]:
-        run_beside(stack, work)
+        run_in_background(stack, work)
 
     def state() -> GatewayState:
         return GatewayState(
@@ -273,7 +273,7 @@
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
     async def answer(request: web.BaseRequest) -> web.StreamResponse:
         metrics.refresh(state())
-        return answer_scrape(request)
+        return metrics_response(request)
 
     return answer
 
--- a/packages/daemon/src/amaranthtally/daemon/health.py
+++ b/packages/daemon/src/amaranthtally/daemon/health.py
@@ -6,10 +6,10 @@
 from aioprometheus import REGISTRY
 from aioprometheus.renderer import render
 
-__all__ = ["add_health_routes", "answer_scrape"]
+__all__ = ["add_health_routes", "metrics_response"]
 
 
-def answer_scrape(request: web.BaseRequest) -> web.Response:
+def metrics_response(request: web.BaseRequest) -> web.Response:
     """Return every metric of the process in the form that the scrape asks for."""
     accepts = request.headers.getall(hdrs.ACCEPT, [])
     content, headers = render(REGISTRY, accepts)
@@ -35,7 +35,7 @@
 
     async def metrics(request: web.Request) -> web.Response:
         refresh()
-        return answer_scrape(request)
+        return metrics_response(request)
 
     app.router.add_get("/healthz", healthz)
     app.router.add_get("/readyz", readyz)
--- a/packages/daemon/src/amaranthtally/daemon/lifecycle.py
+++ b/packages/daemon/src/amaranthtally/daemon/lifecycle.py
@@ -13,7 +13,7 @@
     "ReloadSignal",
     "StopSignal",
     "open_http",
-    "run_beside",
+    "run_in_background",
     "serve_http",
     "split_address",
     "stop_on_signal",
@@ -102,7 +102,7 @@
         signal.signal(signal.SIGHUP, self._receive)
 
     @contextmanager
-    def taken_by(self, reload: Callable[[], None]) -> Iterator[None]:
+    def handled_by(self, reload: Callable[[], None]) -> Iterator[None]:
         """Call ``reload`` on the running loop at each SIGHUP, one held included."""
         loop = asyncio.get_running_loop()
         # From a signal handler the loop may be asleep; this wakes it.
@@ -123,7 +123,7 @@
             self._reload()
 
 
-def run_beside(stack: AsyncExitStack, work: Coroutine[Any, Any, None]) -> None:
+def run_in_background(stack: AsyncExitStack, work: Coroutine[Any, Any, None]) -> None:
     """Run ``work`` in a task that ends with the stack."""
     task = asyncio.create_task(work)
 
--- a/packages/daemon/src/amaranthtally/daemon/log_writer.py
+++ b/packages/daemon/src/amaranthtally/daemon/log_writer.py
@@ -8,7 +8,7 @@
 
 # Lines that wait for a reader, at most: a second's worth of a busy gateway's, some
 # 400 kB. From half of it on only warnings and errors are kept.
-MOST_LINES = 2000
+MAX_LINES = 2000
 # How often lines that wait are tried again, in seconds: a reader that is back gets them
 # though nothing more happens.
 DRAIN_S = 1.0
@@ -24,9 +24,9 @@
     bounded, and those that are lost are counted in a line of their own.
     """
 
-    def __init__(self, descriptor: int, most_lines: int = MOST_LINES) -> None:
+    def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
         self._descriptor = descriptor
-        self._most_lines = most_lines
+        self._most_lines = max_lines
         self._lines: deque[bytes] = deque()
         self._dropped = 0
         self._total_dropped = 0
@@ -38,7 +38,7 @@
         return self._total_dropped
 
     @property
-    def waiting(self) -> int:
+    def pending_lines(self) -> int:
         """Lines that wait for the reader."""
         return len(self._lines)
 
@@ -70,7 +70,7 @@
             self._lines.append(b"level=warning event=log_lines_lost count=%d\n" % count)
             self.flush()
 
-    async def keep_draining(self) -> None:
+    async def flush_periodically(self) -> None:
         """Write what waits once its reader is back, until cancelled."""
         while True:
             await asyncio.sleep(DRAIN_S)
--- a/packages/daemon/src/amaranthtally/daemon/prompts.py
+++ b/packages/daemon/src/amaranthtally/daemon/prompts.py
@@ -14,7 +14,7 @@
 from amaranthtally.policy import Pipeline
 
 __all__ = [
-    "arrival_prefix",
+    "input_prefix_blocks",
     "build_prompt",
     "cache_salt",
     "input_text",
@@ -64,7 +64,7 @@
     return tuple(blocks)
 
 
-def arrival_prefix(
+def input_prefix_blocks(
     account: str, pipeline: Pipeline, value: msgspec.Raw, most: int
 ) -> tuple[int, ...]:
     """Return the blocks of an arriving input, where a stage's endpoints cache any."""
--- a/packages/daemon/src/amaranthtally/daemon/settings_links.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_links.py
@@ -10,7 +10,7 @@
 from amaranthtally.settings import Tree
 from amaranthtally.settings.catalogue import ENDPOINT_PREFIX
 
-__all__ = ["LinkPlan", "choose_links", "linked_endpoints"]
+__all__ = ["LinkPlan", "choose_links", "endpoint_registrations"]
 
 HASH_BYTES = 8
 
@@ -32,7 +32,7 @@
     address: str
 
 
-def linked_endpoints(tree: Tree) -> dict[str, Any]:
+def endpoint_registrations(tree: Tree) -> dict[str, Any]:
     """Return the registrations on which the links depend, by key."""
     return {k: v for _, k, v in tree.items() if k.startswith(ENDPOINT_PREFIX)}
 
--- a/packages/daemon/src/amaranthtally/daemon/settings_state.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_state.py
@@ -7,7 +7,7 @@
 from aioprometheus import Gauge
 
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.settings import Change, ChangeLog, Gap, Tree
+from amaranthtally.settings import Change, ChangeDelta, ChangeLog, Tree
 from amaranthtally.wire import SettingsDelta
 
 __all__ = ["SettingsState"]
@@ -31,7 +31,7 @@
         self._loaded = asyncio.Event()
 
     @property
-    def log(self) -> ChangeLog:
+    def change_log(self) -> ChangeLog:
         """The changes known here."""
         return self._log
 
@@ -50,26 +50,28 @@
         """Set once the settings have been read, from the platform or a peer."""
         return self._loaded
 
-    def listen(self, listener: Callable[[Tree], None]) -> None:
+    def add_listener(self, listener: Callable[[Tree], None]) -> None:
         """Call ``listener`` with each newer tree."""
         self._listeners.append(listener)
 
     # Moving forward
 
-    def take(self, changes: Iterable[Change], source: str) -> None:
+    def apply_changes(self, changes: Iterable[Change], source: str) -> None:
         """Put newer changes in force."""
-        if self._log.take(changes):
+        if self._log.apply_changes(changes):
             self._moved(source)
 
-    def take_tree(self, tree: Tree, source: str) -> None:
+    def apply_tree(self, tree: Tree, source: str) -> None:
         """Put a newer snapshot in force."""
-        if self._log.take_tree(tree):
+        if self._log.apply_tree(tree):
             self._moved(source)
 
-    def take_gap(self, gap: SettingsDelta, source: str) -> None:
+    def apply_delta(self, gap: SettingsDelta, source: str) -> None:
         """Put in force what a peer sent."""
         try:
-            moved = self._log.take_gap(Gap(gap.revision, gap.changes, gap.snapshot))
+            moved = self._log.apply_delta(
+                ChangeDelta(gap.revision, gap.changes, gap.snapshot)
+            )
         except (msgspec.DecodeError, ValueError) as error:
             log.error("settings_gap_unreadable", source=source, cause=str(error))
             return
@@ -78,7 +80,7 @@
 
     def changes_since(self, revision: int) -> SettingsDelta:
         """Return what a peer at ``revision`` lacks."""
-        gap = self._log.gap_after(revision)
+        gap = self._log.delta_since(revision)
         return SettingsDelta(gap.revision, gap.changes, gap.snapshot)
 
     def _moved(self, source: str) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/settings_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_sync.py
@@ -12,7 +12,7 @@
 from amaranthtally.daemon.settings_links import (
     LinkPlan,
     choose_links,
-    linked_endpoints,
+    endpoint_registrations,
 )
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.settings import Tree
@@ -78,7 +78,7 @@
         self._telling: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._changed = asyncio.Event()
-        state.listen(self._on_change)
+        state.add_listener(self._on_change)
 
     @property
     def revision(self) -> int:
@@ -97,9 +97,11 @@
         self._sources[name] = fetch
         if len(self._sources) > KEPT_SOURCES:
             del self._sources[next(iter(self._sources))]
-        self.heard(revision, fetch)
+        self.note_revision(revision, fetch)
 
-    def heard(self, revision: int, fetch: SettingsFetcher | None = None) -> None:
+    def note_revision(
+        self, revision: int, fetch: SettingsFetcher | None = None
+    ) -> None:
         """Take note of a peer's revision; fetch what is lacking, in the background."""
         if revision <= self._state.revision:
             return
@@ -129,7 +131,7 @@
             # The next announcement, call or round tries again.
             log.debug("settings_fetch_failed", cause=str(error) or "timeout")
             return
-        self._state.take_gap(gap, "peer")
+        self._state.apply_delta(gap, "peer")
 
     # Telling
 
@@ -159,7 +161,7 @@
         self._known.clear()
 
     def _on_change(self, tree: Tree) -> None:
-        endpoints = linked_endpoints(tree)
+        endpoints = endpoint_registrations(tree)
         # Sorting all endpoints at each change of a limit would cost too much.
         if endpoints != self._endpoints:
             self._endpoints = endpoints
@@ -191,7 +193,7 @@
             self._telling.discard(address)
         # A peer that is behind fetches what was announced, or asks at the next round.
         self._known[address] = max(known, revision)
-        self.heard(known, client.changes_since)
+        self.note_revision(known, client.changes_since)
 
     async def _client(self, address: str) -> SidecarClient:
         found = self._clients.get(address)
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/endpoint_service.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from amaranthtally.daemon.lifecycle import run_beside, split_address
+from amaranthtally.daemon.lifecycle import run_in_background, split_address
 from amaranthtally.daemon.settings_state import SettingsState
 from amaranthtally.daemon.settings_sync import SettingsSync
 from amaranthtally.daemon.sidecar.drain import DrainController
@@ -96,9 +96,9 @@
     ``is_only_endpoint`` omits the endpoint from the labels of the process's metrics.
     """
     service = EndpointService(settings, shared, is_only_endpoint)
-    shared.state.listen(service.drain.settings_changed)
+    shared.state.add_listener(service.drain.settings_changed)
     if service.cache is not None:
-        run_beside(stack, service.cache.follow_events())
+        run_in_background(stack, service.cache.follow_events())
         if settings.platform_url:
             await _start_reconciler(stack, service, shared.state)
     host, port = split_address(settings.wire_address)
@@ -116,5 +116,5 @@
     reconciler = ModelReconciler(
         service.settings, session, service.models, service.announce_load
     )
-    state.listen(reconciler.settings_changed)
-    run_beside(stack, reconciler.run())
+    state.add_listener(reconciler.settings_changed)
+    run_in_background(stack, reconciler.run())
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -135,12 +135,12 @@
 
     def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
         """Hear of a peer's revision and return one's own."""
-        self._sync.heard(revision, fetch)
+        self._sync.note_revision(revision, fetch)
         return self._sync.revision
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         """Run a stage call, or say that it was not run."""
-        self._sync.heard(call.revision)
+        self._sync.note_revision(call.revision)
         reply = await self._run(self._models.named(call), on_chunk)
         self._metrics.call_ended(reply)
         if self._cache is None:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -25,7 +25,7 @@
     SidecarSettings,
     Tree,
     longest_deadline_s,
-    needed_models,
+    required_models,
 )
 from amaranthtally.settings.catalogue import ENDPOINT_PREFIX
 from amaranthtally.settings.kinds import Role
@@ -129,7 +129,7 @@
         # Costs a walk of the whole tree: only where a model might be unloaded.
         if held.models <= frozenset(self._wanted.models):
             return frozenset()
-        return needed_models(self._tree, self._settings.endpoint)
+        return required_models(self._tree, self._settings.endpoint)
 
     # One order
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/service.py
@@ -11,7 +11,7 @@
 from amaranthtally.daemon.health import add_health_routes
 from amaranthtally.daemon.lifecycle import (
     StopSignal,
-    run_beside,
+    run_in_background,
     serve_http,
     stop_on_signal,
 )
@@ -64,7 +64,7 @@
     state = SettingsState()
     sync = SettingsSync(names[0], state, SIDECAR_LINKS, names[1:])
     stack.push_async_callback(sync.close)
-    run_beside(stack, sync.run())
+    run_in_background(stack, sync.run())
     return SharedResources(session, state, sync, SidecarMetrics())
 
 
--- a/packages/settings/src/amaranthtally/settings/__init__.py
+++ b/packages/settings/src/amaranthtally/settings/__init__.py
@@ -1,12 +1,17 @@
 """Process settings in TOML, and the tree of settings that operators drive."""
 
+from amaranthtally.settings.change_log import (
+    ChangeDelta,
+    ChangeLog,
+    decode_change,
+    encode_change,
+)
 from amaranthtally.settings.checks import Mistake, check_ops
 from amaranthtally.settings.keys import Key, find_key, known_keys, nearest_key
-from amaranthtally.settings.log import ChangeLog, Gap, decode_change, encode_change
 from amaranthtally.settings.models import (
     ModelReference,
     longest_deadline_s,
-    needed_models,
+    required_models,
 )
 from amaranthtally.settings.process import (
     EntrySettings,
@@ -24,13 +29,13 @@
     differences,
     find_overlap,
     undo_ops,
-    with_before,
+    with_previous_values,
 )
 from amaranthtally.settings.snapshot import (
     Snapshot,
     SnapshotPointer,
-    cut_snapshot,
     join_snapshot,
+    split_snapshot,
 )
 from amaranthtally.settings.tree import Change, Level, Op, Scope, Tree
 from amaranthtally.settings.view import SettingsView, hash_key
@@ -40,7 +45,7 @@
     "ChangeLog",
     "Difference",
     "EntrySettings",
-    "Gap",
+    "ChangeDelta",
     "GatewaySettings",
     "Key",
     "Level",
@@ -56,7 +61,7 @@
     "SnapshotPointer",
     "Tree",
     "check_ops",
-    "cut_snapshot",
+    "split_snapshot",
     "decode_change",
     "differences",
     "encode_change",
@@ -71,7 +76,7 @@
     "load_sidecar_settings",
     "longest_deadline_s",
     "nearest_key",
-    "needed_models",
+    "required_models",
     "undo_ops",
-    "with_before",
+    "with_previous_values",
 ]
--- a/packages/settings/src/amaranthtally/settings/log.py
+++ b/packages/settings/src/amaranthtally/settings/change_log.py
@@ -9,7 +9,7 @@
 from amaranthtally.settings.snapshot import decode_tree, encode_tree
 from amaranthtally.settings.tree import Change, Tree
 
-__all__ = ["ChangeLog", "Gap", "decode_change", "encode_change"]
+__all__ = ["ChangeLog", "ChangeDelta", "decode_change", "encode_change"]
 
 KEPT_BYTES = 1_048_576
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Gap:
+class ChangeDelta:
     """
     What a peer lacks: changes, encoded, oldest first.
 
@@ -72,7 +72,7 @@
         """Number of the oldest change kept; one past the newest when none is."""
         return self._kept[0].number if self._kept else self.revision + 1
 
-    def newest_changes(self) -> list[Change]:
+    def retained_changes(self) -> list[Change]:
         """Return the changes kept, oldest first."""
         return [decode_change(kept.data) for kept in self._kept]
 
@@ -85,7 +85,7 @@
 
     # Moving forward
 
-    def take(self, changes: Iterable[Change]) -> bool:
+    def apply_changes(self, changes: Iterable[Change]) -> bool:
         """Fold in what comes next, in any order; true when the tree moved."""
         before = self.revision
         for change in sorted(changes, key=lambda c: c.number):
@@ -94,7 +94,7 @@
                 self._keep(change)
         return self.revision > before
 
-    def take_tree(self, tree: Tree) -> bool:
+    def apply_tree(self, tree: Tree) -> bool:
         """Go on to a snapshot's tree if it is newer; true when the tree moved."""
         if tree.revision <= self.revision:
             return False
@@ -103,20 +103,20 @@
         self._size = 0
         return True
 
-    def take_gap(self, gap: Gap) -> bool:
+    def apply_delta(self, gap: ChangeDelta) -> bool:
         """Fold in what a peer sent; true when the tree moved."""
-        moved = bool(gap.snapshot) and self.take_tree(decode_tree(gap.snapshot))
+        moved = bool(gap.snapshot) and self.apply_tree(decode_tree(gap.snapshot))
         changes = [decode_change(data) for data in gap.changes]
-        return self.take(changes) or moved
+        return self.apply_changes(changes) or moved
 
-    def gap_after(self, revision: int) -> Gap:
+    def delta_since(self, revision: int) -> ChangeDelta:
         """Return what a peer at ``revision`` lacks."""
         if revision >= self.revision:
-            return Gap(self.revision)
+            return ChangeDelta(self.revision)
         if revision + 1 < self.oldest:
-            return Gap(self.revision, snapshot=encode_tree(self._tree))
+            return ChangeDelta(self.revision, snapshot=encode_tree(self._tree))
         lacking = tuple(kept.data for kept in self._kept if kept.number > revision)
-        return Gap(self.revision, lacking)
+        return ChangeDelta(self.revision, lacking)
 
     def _keep(self, change: Change) -> None:
         data = encode_change(change)
--- a/packages/settings/src/amaranthtally/settings/checks.py
+++ b/packages/settings/src/amaranthtally/settings/checks.py
@@ -145,7 +145,7 @@
     if not places:
         return []
     scopes = _pipeline_scopes(tree)
-    return [scope for scope in scopes if any(scope.meets(p) for p in places)]
+    return [scope for scope in scopes if any(scope.overlaps(p) for p in places)]
 
 
 def _is_stage_key(key: str) -> bool:
--- a/packages/settings/src/amaranthtally/settings/models.py
+++ b/packages/settings/src/amaranthtally/settings/models.py
@@ -22,7 +22,7 @@
     "Offer",
     "Served",
     "longest_deadline_s",
-    "needed_models",
+    "required_models",
     "offers",
 ]
 
@@ -100,7 +100,7 @@
     return models & served[name]
 
 
-def needed_models(tree: Tree, endpoint: str) -> frozenset[str]:
+def required_models(tree: Tree, endpoint: str) -> frozenset[str]:
     """
     Return the models that pipelines ask for and only this endpoint could answer.
 
--- a/packages/settings/src/amaranthtally/settings/proposal.py
+++ b/packages/settings/src/amaranthtally/settings/proposal.py
@@ -13,7 +13,7 @@
     "differences",
     "find_overlap",
     "undo_ops",
-    "with_before",
+    "with_previous_values",
 ]
 
 
@@ -42,7 +42,7 @@
     yours: Any
 
 
-def with_before(tree: Tree, ops: Iterable[Op]) -> list[Op]:
+def with_previous_values(tree: Tree, ops: Iterable[Op]) -> list[Op]:
     """Return the operations with the value that each one replaces."""
     return [
         Op(op.scope, op.key, op.value, tree.get(Scope.parse(op.scope), op.key))
@@ -82,6 +82,6 @@
 
 
 def _touches(one: Op, other: Op) -> bool:
-    return one.key == other.key and Scope.parse(one.scope).meets(
+    return one.key == other.key and Scope.parse(one.scope).overlaps(
         Scope.parse(other.scope)
     )
--- a/packages/settings/src/amaranthtally/settings/snapshot.py
+++ b/packages/settings/src/amaranthtally/settings/snapshot.py
@@ -11,7 +11,7 @@
 __all__ = [
     "Snapshot",
     "SnapshotPointer",
-    "cut_snapshot",
+    "split_snapshot",
     "decode_tree",
     "encode_tree",
     "join_snapshot",
@@ -71,7 +71,7 @@
     return Tree(document.revision - 1).apply(ops)
 
 
-def cut_snapshot(tree: Tree, part_bytes: int = PART_BYTES) -> Snapshot:
+def split_snapshot(tree: Tree, part_bytes: int = PART_BYTES) -> Snapshot:
     """Return the tree in parts of at most ``part_bytes``."""
     data = encode_tree(tree)
     parts = tuple(data[n : n + part_bytes] for n in range(0, len(data), part_bytes))
--- a/packages/settings/src/amaranthtally/settings/tree.py
+++ b/packages/settings/src/amaranthtally/settings/tree.py
@@ -62,7 +62,7 @@
         ]
         return tuple(found)
 
-    def meets(self, other: "Scope") -> bool:
+    def overlaps(self, other: "Scope") -> bool:
         """Whether some region, account and pipeline lies below both scopes."""
         return (
             _agree(self.region, other.region)
--- a/tests/lifecycle/test_model_changes.py
+++ b/tests/lifecycle/test_model_changes.py
@@ -28,7 +28,7 @@
     wait_served,
 )
 from tests.lifecycle.support import log_lines
-from tests.settings.helpers import propose, set_value, start_sidecar_beside
+from tests.settings.helpers import propose, set_value, start_second_sidecar
 from tests.support import parse_events, plan, run_async
 
 
@@ -241,7 +241,7 @@
             await start_with_old(deployment)
             old = pair.sidecar
             old.send(signal.SIGSTOP)
-            await start_sidecar_beside(deployment, pair)
+            await start_second_sidecar(deployment, pair)
             await change(deployment, *registrations(deployment, OLD, NEW))
             await deployment.call("assessment", "claim", deadline_ms=DEADLINE_MS)
             await wait_models(deployment, OLD, NEW)
--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -18,7 +18,7 @@
 from amaranthtally.policy.model_orders import Load
 from amaranthtally.settings import SidecarSettings
 from amaranthtally.standins.deployment import open_deployment
-from tests.settings.helpers import start_sidecar_beside
+from tests.settings.helpers import start_second_sidecar
 from tests.support import plan, run_async
 
 MODEL = "assessment-7b"
@@ -91,7 +91,7 @@
                 await asyncio.sleep(0.05)
             await deployment.set_knobs(deployment.platform, slow=0.0, lose_answers=0)
             assert await orders(deployment, pair) == []
-            await start_sidecar_beside(deployment, pair)
+            await start_second_sidecar(deployment, pair)
             await want(deployment, [pair], MODEL)
             first = await wait_orders(deployment, pair, 1)
             assert first == [(2, MODEL)]
--- a/tests/settings/helpers.py
+++ b/tests/settings/helpers.py
@@ -89,7 +89,7 @@
     pair.sidecar = await deployment.start_daemon("sidecar", pair.id, pair.sidecar_file)
 
 
-async def start_sidecar_beside(deployment, pair):
+async def start_second_sidecar(deployment, pair):
     """Start another sidecar of an endpoint while the old one keeps its addresses."""
     own = {key: deployment.own_address() for key in ("wire_address", "http_address")}
     settings = tomllib.loads(pair.sidecar_file.read_text()) | own
--- a/tests/settings/test_checks.py
+++ b/tests/settings/test_checks.py
@@ -9,7 +9,7 @@
     Tree,
     check_ops,
     known_keys,
-    needed_models,
+    required_models,
 )
 
 ENDPOINT = {
@@ -149,16 +149,16 @@
 
 
 def test_a_model_is_needed_where_no_other_endpoint_could_answer():
-    assert needed_models(tree(), "a-1") == {"small-1"}
+    assert required_models(tree(), "a-1") == {"small-1"}
     bare = {**ENDPOINT, "models": ["other"]}
-    assert needed_models(tree().apply([Op("firm", "endpoint.a-1", bare)]), "a-1") == {
+    assert required_models(tree().apply([Op("firm", "endpoint.a-1", bare)]), "a-1") == {
         "small-1"
     }
     second = {**ENDPOINT, "host": "host-2"}
     two = tree().apply([Op("firm", "endpoint.a-2", second)])
-    assert needed_models(two, "a-1") == set()
+    assert required_models(two, "a-1") == set()
     drained = two.apply([Op("firm", "drain.host-2", True)])
-    assert needed_models(drained, "a-1") == {"small-1"}
+    assert required_models(drained, "a-1") == {"small-1"}
 
 
 def test_every_key_has_a_doc_and_a_default_of_its_kind():
--- a/tests/settings/test_tree.py
+++ b/tests/settings/test_tree.py
@@ -9,12 +9,12 @@
     Scope,
     SnapshotPointer,
     Tree,
-    cut_snapshot,
     differences,
     find_overlap,
     join_snapshot,
+    split_snapshot,
     undo_ops,
-    with_before,
+    with_previous_values,
 )
 
 NAMES = st.sampled_from(["", "a", "b"])
@@ -30,7 +30,7 @@
 def make_changes(batches):
     tree, changes = Tree(), []
     for number, ops in enumerate(batches, 1):
-        ops = with_before(tree, ops)
+        ops = with_previous_values(tree, ops)
         changes.append(Change(number, f"id-{number}", "op", "", "test", ops))
         tree = tree.fold(changes[-1])
     return changes, tree
@@ -62,9 +62,9 @@
     random.shuffle(sent)
     for change in sent:
         before = log.revision
-        log.take([change])
+        log.apply_changes([change])
         assert log.revision >= before
-    log.take(changes)
+    log.apply_changes(changes)
     assert values(log.tree) == values(tree)
 
 
@@ -73,14 +73,14 @@
 def test_a_peer_that_is_behind_gets_all_that_it_lacks(batches, known, kept):
     changes, tree = make_changes(batches)
     ahead, behind = ChangeLog(kept_bytes=kept), ChangeLog()
-    ahead.take(changes)
-    behind.take(changes[:known])
-    behind.take_gap(ahead.gap_after(behind.revision))
+    ahead.apply_changes(changes)
+    behind.apply_changes(changes[:known])
+    behind.apply_delta(ahead.delta_since(behind.revision))
     assert behind.revision == tree.revision
     assert values(behind.tree) == values(tree)
     old = ChangeLog(kept_bytes=0)
-    old.take(changes[:known])
-    assert not behind.take_gap(old.gap_after(0))
+    old.apply_changes(changes[:known])
+    assert not behind.apply_delta(old.delta_since(0))
     assert behind.revision == tree.revision
     assert values(behind.tree) == values(tree)
 
@@ -89,7 +89,7 @@
 @given(LOGS, st.integers(1, 60))
 def test_a_snapshot_is_whole_or_nothing(batches, part_bytes):
     _, tree = make_changes(batches)
-    snapshot = cut_snapshot(tree, part_bytes)
+    snapshot = split_snapshot(tree, part_bytes)
     parts = list(snapshot.parts)
     pointer = SnapshotPointer(tree.revision, 0, snapshot.digest, len(parts))
     joined = join_snapshot(pointer, parts)
@@ -112,13 +112,15 @@
     later = base
     since = []
     for number, ops in enumerate(others, 2):
-        since.append(Change(number, "", "other", "", "", with_before(later, ops)))
+        since.append(
+            Change(number, "", "other", "", "", with_previous_values(later, ops))
+        )
         later = later.apply(ops)
     winner = find_overlap(mine, since)
     if winner is not None:
         assert differences(mine, winner)
         return
-    assert with_before(later, mine) == with_before(base, mine)
+    assert with_previous_values(later, mine) == with_previous_values(base, mine)
     for op in mine:
         place = Scope.parse(op.scope)
         assert later.resolve(place, op.key) == base.resolve(place, op.key)
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -35,7 +35,7 @@
     writer = BoundedWriter(descriptor)
     writer.write(line(1))
     assert read_all(reader) == line(1).encode()
-    assert writer.waiting == 0
+    assert writer.pending_lines == 0
 
 
 def test_a_reader_that_stops_holds_nobody_up(pipe):
@@ -44,32 +44,32 @@
     full, and the next log line waited for it.
     """
     _, descriptor = pipe
-    writer = BoundedWriter(descriptor, most_lines=100)
+    writer = BoundedWriter(descriptor, max_lines=100)
     started = time.monotonic()
     for number in range(20_000):
         writer.write(line(number))
     assert time.monotonic() - started < 5.0
-    assert writer.waiting <= 100
+    assert writer.pending_lines <= 100
     assert writer.dropped > 0
 
 
 def test_failures_are_kept_before_successes(pipe):
     _, descriptor = pipe
-    writer = BoundedWriter(descriptor, most_lines=100)
+    writer = BoundedWriter(descriptor, max_lines=100)
     while not writer.dropped:
         writer.write(line(0))
-    before = writer.waiting
+    before = writer.pending_lines
     writer.write(line(1, "error"))
-    assert writer.waiting == before + 1
+    assert writer.pending_lines == before + 1
 
 
 def test_what_was_lost_is_counted_and_no_line_is_torn(pipe):
     reader, descriptor = pipe
-    writer = BoundedWriter(descriptor, most_lines=100)
+    writer = BoundedWriter(descriptor, max_lines=100)
     for number in range(20_000):
         writer.write(line(number))
     found = read_all(reader)
-    while writer.waiting:
+    while writer.pending_lines:
         writer.flush()
         found += read_all(reader)
     lines = found.decode().splitlines()
--- a/tests/unit/test_reload_signal.py
+++ b/tests/unit/test_reload_signal.py
@@ -27,7 +27,7 @@
     async def check():
         done = asyncio.Event()
         send()
-        with reloads.taken_by(done.set):
+        with reloads.handled_by(done.set):
             async with asyncio.timeout(2.0):
                 await done.wait()
 
@@ -37,7 +37,7 @@
 def test_each_reload_is_done_while_the_loop_sleeps(reloads):
     async def check():
         done = []
-        with reloads.taken_by(lambda: done.append(1)):
+        with reloads.handled_by(lambda: done.append(1)):
             for number in range(1, 4):
                 send()
                 async with asyncio.timeout(2.0):
@@ -50,7 +50,7 @@
 def test_a_reload_that_comes_at_the_end_is_no_crash(reloads):
     async def check():
         done = []
-        with reloads.taken_by(lambda: done.append(1)):
+        with reloads.handled_by(lambda: done.append(1)):
             pass
         send()
         await asyncio.sleep(0.05)
--- a/tests/unit/test_settings_sync.py
+++ b/tests/unit/test_settings_sync.py
@@ -24,7 +24,7 @@
 
         sync = SettingsSync("one", SettingsState(), SIDECAR_LINKS)
         for revision in range(1, 25):
-            sync.heard(revision, fetch)
+            sync.note_revision(revision, fetch)
             await asyncio.sleep(0.1)
         await sync.close()
         # A second one beside the first, whose peer may be paused.
