--- a/packages/daemon/src/amaranthtally/daemon/entry/audit.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/audit.py
@@ -51,8 +51,8 @@
         The search covers the changes in memory, then a bounded number of older blocks
         on the platform. It does not scan the whole log for criteria that rarely match.
         """
-        log = self._state.log
-        matching = [c for c in reversed(log.newest_changes()) if criteria.matches(c)]
+        log = self._state.change_log
+        matching = [c for c in reversed(log.retained_changes()) if criteria.matches(c)]
         last = log.oldest - 1
         if criteria.before:
             last = min(last, criteria.before - 1)
--- a/packages/daemon/src/amaranthtally/daemon/entry/callers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/callers.py
@@ -28,7 +28,7 @@
     render_problem,
 )
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.daemon.prompts import arrival_prefix
+from amaranthtally.daemon.prompts import input_prefix_blocks
 from amaranthtally.policy import Arrival, Pipeline
 from amaranthtally.settings import SettingsView
 
@@ -234,7 +234,7 @@
             deadline=received_at + valid.deadline_s,
             input_bytes=len(raw),
             streaming=valid.body.stream,
-            prefix=arrival_prefix(
+            prefix=input_prefix_blocks(
                 valid.account,
                 valid.pipeline,
                 valid.body.input,
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -137,12 +137,12 @@
 
     def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
         """Receive a peer's settings revision and return this process's revision."""
-        self._sync.heard(revision, fetch)
+        self._sync.note_revision(revision, fetch)
         return self._sync.revision
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         """Run a stage call, or return the reason why it was not run."""
-        self._sync.heard(call.revision)
+        self._sync.note_revision(call.revision)
         reply = await self._run(self._models.with_default_model(call), on_chunk)
         self._metrics.call_ended(reply)
         if self._cache is None:
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -25,7 +25,7 @@
     SidecarSettings,
     Tree,
     longest_deadline_s,
-    needed_models,
+    required_models,
 )
 from amaranthtally.settings.catalogue import ENDPOINT_PREFIX
 from amaranthtally.settings.kinds import Role
@@ -133,7 +133,7 @@
         # be unloaded.
         if loaded.models <= frozenset(self._desired.models):
             return frozenset()
-        return needed_models(self._tree, self._settings.endpoint)
+        return required_models(self._tree, self._settings.endpoint)
 
     # One order
 
