--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from amaranthtally.policy import Planner
-from amaranthtally.simulator.days import play
+from amaranthtally.simulator.days import simulate
 from amaranthtally.simulator.deployment import Fault, read_deployment
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "experiments" / "fleet.toml"
@@ -88,7 +88,7 @@
     costs = Costs()
     for event in EVENTS:
         costs.watch(event)
-    play(day, SEED)
+    simulate(day, SEED)
     sys.stdout.writelines(costs.row(event) + "\n" for event in EVENTS)
     return 0
 
--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -23,7 +23,7 @@
 )
 from amaranthtally.operator.experiment.trial_log import DayTrial, TrialLog
 from amaranthtally.operator.experiment.workers import interruptible
-from amaranthtally.simulator.days import Day, figure_names
+from amaranthtally.simulator.days import DayResult, figure_names
 from amaranthtally.simulator.deployment import (
     Deployment,
     check_known,
@@ -141,7 +141,7 @@
     """
     drawn = [draw_deployment(first + n, seconds=SEARCH_S) for n in range(days)]
     wanted = day_jobs(drawn, [1], [POLICY.name])
-    found: dict[DayTrial, Day] = {}
+    found: dict[DayTrial, DayResult] = {}
     console = Console(stderr=True)
     with interruptible(), closing(play_days(wanted, jobs)) as playing:
         for played in track(playing, total=len(wanted), console=console):
@@ -175,7 +175,7 @@
 
 def _play(
     wanted: list[DayJob], out: Path, workers: int
-) -> tuple[dict[DayTrial, Day], bool]:
+) -> tuple[dict[DayTrial, DayResult], bool]:
     """Play what the directory lacks; return all days, and whether it was cut short."""
     log = TrialLog(out / LOG_NAME)
     before = log.read()
@@ -196,7 +196,7 @@
     return days, False
 
 
-def _write(out: Path, days: dict[DayTrial, Day]) -> None:
+def _write(out: Path, days: dict[DayTrial, DayResult]) -> None:
     comparisons = compare(days, POLICY.name, figure_names())
     table = render_comparisons(comparisons, MAIN_FIGURE)
     sys.stdout.write(table)
@@ -207,7 +207,7 @@
         plot_differences(comparisons, MAIN_FIGURE, out / "differences.svg")
 
 
-def _reference_broke(days: dict[DayTrial, Day]) -> bool:
+def _reference_broke(days: dict[DayTrial, DayResult]) -> bool:
     return any(
         day.broken for trial, day in days.items() if trial.variant == POLICY.name
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -14,7 +14,7 @@
     deployment_digest,
 )
 from amaranthtally.operator.experiment.workers import open_workers
-from amaranthtally.simulator.days import Day, play_day
+from amaranthtally.simulator.days import DayResult, simulate_day
 from amaranthtally.simulator.deployment import Deployment
 
 __all__ = ["Comparison", "DayJob", "compare", "day_jobs", "play_days"]
@@ -72,15 +72,15 @@
 
 
 def _play(job: DayJob) -> PlayedDay:
-    day = play_day(job.deployment, job.trial.seed, job.trial.variant)
+    day = simulate_day(job.deployment, job.trial.seed, job.trial.variant)
     return PlayedDay(job.trial, day)
 
 
 def compare(
-    days: Mapping[DayTrial, Day], reference: str, figures: Sequence[str]
+    days: Mapping[DayTrial, DayResult], reference: str, figures: Sequence[str]
 ) -> list[Comparison]:
     """Return each variant's figures, paired with the reference's by day and seed."""
-    by_variant: dict[str, dict[tuple[str, int], Day]] = {}
+    by_variant: dict[str, dict[tuple[str, int], DayResult]] = {}
     for trial, day in days.items():
         key = (trial.digest, trial.seed)
         by_variant.setdefault(trial.variant, {})[key] = day
@@ -96,8 +96,8 @@
 def _compare_one(
     name: str,
     figure: str,
-    played: Mapping[tuple[str, int], Day],
-    base: Mapping[tuple[str, int], Day],
+    played: Mapping[tuple[str, int], DayResult],
+    base: Mapping[tuple[str, int], DayResult],
 ) -> Comparison | None:
     keys = [key for key in played if key in base]
     if len(keys) < 2:
--- a/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
@@ -7,7 +7,7 @@
 
 from amaranthtally.operator.experiment.day_runs import Comparison
 from amaranthtally.operator.experiment.trial_log import DayTrial
-from amaranthtally.simulator.days import Day
+from amaranthtally.simulator.days import DayResult
 
 __all__ = ["plot_differences", "render_broken", "render_comparisons"]
 
@@ -32,7 +32,7 @@
     return "\n".join(lines) + "\n"
 
 
-def render_broken(days: Mapping[DayTrial, Day]) -> str:
+def render_broken(days: Mapping[DayTrial, DayResult]) -> str:
     """Return a line for each promise that was broken."""
     lines = [
         f"{trial.deployment} seed {trial.seed} {trial.variant}: {what}"
--- a/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from amaranthtally.simulator.days import Day
+from amaranthtally.simulator.days import DayResult
 from amaranthtally.simulator.deployment import Deployment
 
 __all__ = ["DayTrial", "PlayedDay", "TrialLog", "deployment_digest"]
@@ -28,7 +28,7 @@
     """A trial and what came of it."""
 
     trial: DayTrial
-    day: Day
+    day: DayResult
 
 
 class TrialLog:
@@ -38,7 +38,7 @@
         self._path = path
         self._decode = msgspec.json.Decoder(PlayedDay)
 
-    def read(self) -> dict[DayTrial, Day]:
+    def read(self) -> dict[DayTrial, DayResult]:
         """Return the days that were played before; a line cut short is left out."""
         return {played.trial: played.day for played in self._lines()}
 
--- a/packages/simulator/src/amaranthtally/simulator/callers.py
+++ b/packages/simulator/src/amaranthtally/simulator/callers.py
@@ -7,7 +7,7 @@
 from amaranthtally.policy import Refuse, RequestOutcome
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.deployment import Deployment, Kind, Range
-from amaranthtally.simulator.requests import Ending, Request, Verdict
+from amaranthtally.simulator.requests import Ending, Request, RequestRecord
 
 __all__ = ["Callers", "Drawn"]
 
@@ -47,7 +47,7 @@
         return Request(
             id=f"{kind.name}-{number}",
             kind=kind,
-            came_at=now,
+            arrived_at=now,
             counts=tuple(_between(random, stage.pieces) for stage in kind.stages),
             prefix=tuple(p for p, size in zip(parts, sizes, strict=True) if size),
             sizes=tuple(size for size in sizes if size),
@@ -66,9 +66,9 @@
         deliver: Callable[[Request, Random], bool],
         withdraw: Callable[[Request], None],
     ) -> None:
-        self.verdicts: list[Verdict] = []
+        self.records: list[RequestRecord] = []
         # Kinds of refused tries, and how long each was held, in seconds.
-        self.held: list[tuple[str, float]] = []
+        self.refusal_waits: list[tuple[str, float]] = []
         self._clock = clock
         self._deployment = deployment
         self._drawn = drawn
@@ -142,7 +142,7 @@
     def _leave(self, request: Request) -> None:
         if request.id in self._open:
             self._withdraw(request)
-            self._end(request, Ending.GONE)
+            self._end(request, Ending.ABANDONED)
 
     # What comes back
 
@@ -161,7 +161,9 @@
 
     def refused(self, request: Request, refusal: Refuse) -> None:
         """Come back once when told to, if it may be sent again."""
-        self.held.append((request.kind.name, self._clock.now - request.sent_at))
+        self.refusal_waits.append(
+            (request.kind.name, self._clock.now - request.sent_at)
+        )
         may_return = (
             refusal.outcome is RequestOutcome.NOT_RUN or request.kind.call != "effect"
         )
@@ -194,11 +196,11 @@
         earned = {Ending.ON_TIME: kind.worth, Ending.LATE: kind.late_worth}.get(ending)
         if earned is None:
             earned = -TWICE_IN_VAIN * kind.worth * (request.tries >= MOST_TRIES)
-        self.verdicts.append(
-            Verdict(
+        self.records.append(
+            RequestRecord(
                 kind.name,
                 ending,
-                request.came_at,
+                request.arrived_at,
                 self._clock.now,
                 kind.worth,
                 earned,
--- a/packages/simulator/src/amaranthtally/simulator/days.py
+++ b/packages/simulator/src/amaranthtally/simulator/days.py
@@ -8,15 +8,15 @@
 from amaranthtally.simulator.deployment import Deployment
 from amaranthtally.simulator.faults import plan_faults
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant
-from amaranthtally.simulator.requests import Ending, Verdict
+from amaranthtally.simulator.requests import Ending, RequestRecord
 from amaranthtally.simulator.world import World
 
-__all__ = ["Day", "figure_names", "play", "play_day"]
+__all__ = ["DayResult", "figure_names", "simulate", "simulate_day"]
 
 KILO, GIGA = 1e3, 1e9
 
 
-class Day(msgspec.Struct, frozen=True):
+class DayResult(msgspec.Struct, frozen=True):
     """
     What a day was worth, as shares of what was owed, and what was broken.
 
@@ -37,34 +37,36 @@
 
 def figure_names() -> list[str]:
     """Return the figures of a day that are shares."""
-    return [f for f in Day.__struct_fields__ if f not in ("requests", "broken")]
+    return [f for f in DayResult.__struct_fields__ if f not in ("requests", "broken")]
 
 
-def play(deployment: Deployment, seed: int = 1, chosen: Variant = POLICY) -> World:
+def simulate(deployment: Deployment, seed: int = 1, chosen: Variant = POLICY) -> World:
     """Return a world whose day is over; raises ``DeploymentError``."""
     return plan_faults(World(deployment, seed, chosen)).run()
 
 
-def play_day(deployment: Deployment, seed: int, variant_name: str = "policy") -> Day:
+def simulate_day(
+    deployment: Deployment, seed: int, variant_name: str = "policy"
+) -> DayResult:
     """Play a day and sum it up; raises ``DeploymentError`` for an unknown fault."""
-    world = play(deployment, seed, variant(variant_name))
-    verdicts = world.callers.verdicts
-    owed = sum(one.worth for one in verdicts) or 1.0
-    earned = sum(one.earned for one in verdicts) / owed
-    endings = Counter(one.ending for one in verdicts)
-    count = max(1, len(verdicts))
+    world = simulate(deployment, seed, variant(variant_name))
+    records = world.callers.records
+    owed = sum(one.worth for one in records) or 1.0
+    earned = sum(one.earned for one in records) / owed
+    endings = Counter(one.ending for one in records)
+    count = max(1, len(records))
     busy_s = sum(server.busy_s for server in world.stage_servers())
     wasted_s = _wasted_s(world, busy_s)
     prices = _prices(world, wasted_s) / owed
-    return Day(
+    return DayResult(
         worth=earned - prices,
         earned=earned,
         prices=prices,
         on_time=endings[Ending.ON_TIME] / count,
         refused=endings[Ending.REFUSED] / count,
         wasted=wasted_s / busy_s if busy_s else 0.0,
-        worst_kind=_worst_kind(verdicts),
-        requests=len(verdicts),
+        worst_kind=_worst_kind(records),
+        requests=len(records),
         broken=tuple(world.promises.broken),
     )
 
@@ -72,9 +74,9 @@
 def _wasted_s(world: World, busy_s: float) -> float:
     """Return the stage time that made nothing which an answered request read."""
     useful_s = sum(
-        verdict.stage_s / max(1, verdict.tries)
-        for verdict in world.callers.verdicts
-        if verdict.ending in (Ending.ON_TIME, Ending.LATE)
+        record.stage_s / max(1, record.tries)
+        for record in world.callers.records
+        if record.ending in (Ending.ON_TIME, Ending.LATE)
     )
     return max(0.0, busy_s - useful_s)
 
@@ -90,9 +92,9 @@
     )
 
 
-def _worst_kind(verdicts: Sequence[Verdict]) -> float:
-    by_kind: dict[str, list[Verdict]] = {}
-    for one in verdicts:
+def _worst_kind(records: Sequence[RequestRecord]) -> float:
+    by_kind: dict[str, list[RequestRecord]] = {}
+    for one in records:
         by_kind.setdefault(one.kind, []).append(one)
     shares = [
         sum(one.earned for one in of_kind) / sum(one.worth for one in of_kind)
--- a/packages/simulator/src/amaranthtally/simulator/requests.py
+++ b/packages/simulator/src/amaranthtally/simulator/requests.py
@@ -5,7 +5,7 @@
 
 from amaranthtally.simulator.deployment import Kind
 
-__all__ = ["Ending", "Request", "Verdict"]
+__all__ = ["Ending", "Request", "RequestRecord"]
 
 
 class Ending(Enum):
@@ -15,7 +15,7 @@
     LATE = "late"
     REFUSED = "refused"
     FAILED = "failed"
-    GONE = "gone"
+    ABANDONED = "gone"
 
 
 @dataclass(slots=True, eq=False)
@@ -31,7 +31,7 @@
 
     id: str
     kind: Kind
-    came_at: float
+    arrived_at: float
     counts: tuple[int, ...]
     prefix: tuple[int, ...]
     sizes: tuple[int, ...]
@@ -45,12 +45,12 @@
     @property
     def deadline(self) -> float:
         """When its caller leaves."""
-        return self.came_at + self.kind.deadline_s
+        return self.arrived_at + self.kind.deadline_s
 
     @property
     def objective(self) -> float:
         """When its answer is late."""
-        return self.came_at + self.kind.objective_s
+        return self.arrived_at + self.kind.objective_s
 
     @property
     def try_id(self) -> str:
@@ -59,12 +59,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class RequestRecord:
     """The end of a request: what it was worth, and what was spent on it."""
 
     kind: str
     ending: Ending
-    came_at: float
+    arrived_at: float
     ended_at: float
     worth: float
     earned: float
--- a/tests/load/days.py
+++ b/tests/load/days.py
@@ -28,20 +28,20 @@
 
 def share_on_time(world, *kinds, since=0.0):
     """Return the share of requests of these kinds that were answered on time."""
-    verdicts = _verdicts_of(world, kinds, since)
-    return sum(verdict.ending is Ending.ON_TIME for verdict in verdicts) / len(verdicts)
+    records = _records_of(world, kinds, since)
+    return sum(record.ending is Ending.ON_TIME for record in records) / len(records)
 
 
 def share_served(world, *kinds):
     """Return the share of requests of these kinds that were answered at all."""
-    verdicts = _verdicts_of(world, kinds, 0.0)
+    records = _records_of(world, kinds, 0.0)
     served = (Ending.ON_TIME, Ending.LATE)
-    return sum(verdict.ending in served for verdict in verdicts) / len(verdicts)
+    return sum(record.ending in served for record in records) / len(records)
 
 
-def _verdicts_of(world, kinds, since):
+def _records_of(world, kinds, since):
     return [
-        verdict
-        for verdict in world.callers.verdicts
-        if verdict.kind in kinds and verdict.came_at > since
+        record
+        for record in world.callers.records
+        if record.kind in kinds and record.arrived_at > since
     ]
--- a/tests/load/test_stages_under_load.py
+++ b/tests/load/test_stages_under_load.py
@@ -11,7 +11,7 @@
 import pytest
 
 from amaranthtally.simulator import faults
-from amaranthtally.simulator.days import play
+from amaranthtally.simulator.days import simulate
 from amaranthtally.simulator.deployment import Fault
 from amaranthtally.simulator.mechanisms import variant
 from tests.load.days import (
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_normal_load_is_served_on_time(seed):
     """Three lookups in ten were late at normal load, as calls held only one piece."""
-    world = play(day_of("fleet"), seed)
+    world = simulate(day_of("fleet"), seed)
     assert share_on_time(world, "claim") >= 0.9
     assert share_on_time(world, "lookup") >= 0.9
 
@@ -46,8 +46,8 @@
 def test_one_caller_for_each_endpoint_serves_more_than_six(seed):
     """Entries that call endpoints without coordination fill them with small calls."""
     day = day_of("fleet", burst("claim", 2.6))
-    uncoordinated = play(day, seed, variant("no owners"))
-    coordinated = play(day, seed)
+    uncoordinated = simulate(day, seed, variant("no owners"))
+    coordinated = simulate(day, seed)
     staged = STAGED["fleet"]
     assert (
         share_on_time(coordinated, *staged)
@@ -59,15 +59,17 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_urgent_kind_is_served_first_if_not_all_can_be(seed):
     """In a burst, lookups were as late as replies, though they are the most urgent."""
-    world = play(day_of("fleet", burst("claim", 2.5), burst("lookup", 2.5)), seed)
+    world = simulate(day_of("fleet", burst("claim", 2.5), burst("lookup", 2.5)), seed)
     assert share_on_time(world, "lookup") > share_on_time(world, "reply")
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_callers_do_not_wait_long_for_a_refusal(seed):
     """Callers were refused after seven of eight seconds, though late after two."""
-    world = play(day_of("fleet", burst("", 3.0, 0.0, 20.0)), seed)
-    held = sorted(held_s for kind, held_s in world.callers.held if kind == "claim")
+    world = simulate(day_of("fleet", burst("", 3.0, 0.0, 20.0)), seed)
+    held = sorted(
+        held_s for kind, held_s in world.callers.refusal_waits if kind == "claim"
+    )
     claim = next(one for one in DEPLOYMENTS["fleet"].kinds if one.name == "claim")
     assert held
     assert held[len(held) // 2] <= claim.objective_s + 0.5
@@ -77,14 +79,14 @@
 def test_service_recovers_soon_after_overload(seed):
     """Service stayed slow after a burst, as late work delayed the new requests."""
     bursts = (burst("claim", 3.0, 5.0, 5.0), burst("lookup", 3.0, 5.0, 5.0))
-    world = play(day_of("fleet", *bursts, seconds=30.0), seed)
+    world = simulate(day_of("fleet", *bursts, seconds=30.0), seed)
     assert share_on_time(world, "claim", "lookup", since=14.0) >= 0.85
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_requests_larger_than_a_call_are_served_beside_small_ones(seed):
     """Large drafts were always refused, as no call had room for all their pieces."""
-    world = play(with_large_drafts(), seed)
+    world = simulate(with_large_drafts(), seed)
     assert share_served(world, "large") >= 0.5 * share_served(world, "draft")
 
 
@@ -107,7 +109,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_request_stays_in_a_queue_while_another_site_is_free(seed):
     """Every stage of a request ran where its first one did, after a wait of 1.2 s."""
-    world = play(day_of("tracker", burst("summary", 2.5)), seed)
+    world = simulate(day_of("tracker", burst("summary", 2.5)), seed)
     assert share_on_time(world, "draft", "summary") >= 0.9
 
 
@@ -115,7 +117,7 @@
 def test_an_endpoint_that_has_become_slow_gets_less(seed):
     """A third of requests were late, as the wait ignored how slow the endpoint is."""
     slow = Fault("slow", 0.0, 40.0, "ledger/iasi-a/0", 4.0)
-    world = play(day_of("tracker", slow), seed)
+    world = simulate(day_of("tracker", slow), seed)
     assert share_on_time(world, "draft", "summary") >= 0.9
 
 
@@ -127,7 +129,7 @@
 ):
     """Urgent requests were late during restarts, as owners and results are lost."""
     monkeypatch.setattr(faults, "START_S", start_s)
-    world = play(day_of(name, Fault("rolling_stop", 1.0, 12.0)), seed)
+    world = simulate(day_of(name, Fault("rolling_stop", 1.0, 12.0)), seed)
     assert share_on_time(world, *URGENT[name]) >= 0.9
 
 
@@ -135,13 +137,13 @@
 @pytest.mark.parametrize("name", STAGED)
 def test_a_fleet_that_was_killed_serves_on_time_again(seed, name):
     """Ten seconds after a loss of power, answers were late due to old results."""
-    world = play(day_of(name, Fault("kill_all", 8.0, 1.5), seconds=30.0), seed)
+    world = simulate(day_of(name, Fault("kill_all", 8.0, 1.5), seconds=30.0), seed)
     assert share_on_time(world, *VALUABLE[name], since=18.0) >= 0.85
 
 
 def test_nobody_waits_through_most_of_their_time_to_be_refused():
     """Started requests were overtaken for seconds, and refused near the deadline."""
-    world = play(day_of("tracker", burst("", 3.0, 0.0, 20.0)), seed=1)
+    world = simulate(day_of("tracker", burst("", 3.0, 0.0, 20.0)), seed=1)
     deadlines = {kind.name: kind.deadline_s for kind in DEPLOYMENTS["tracker"].kinds}
-    held = [s for kind, s in world.callers.held if s > 0.75 * deadlines[kind]]
+    held = [s for kind, s in world.callers.refusal_waits if s > 0.75 * deadlines[kind]]
     assert held == []
--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -17,7 +17,7 @@
 )
 from amaranthtally.operator.experiment.trial_log import PlayedDay, TrialLog
 from amaranthtally.operator.main import app
-from amaranthtally.simulator.days import Day
+from amaranthtally.simulator.days import DayResult
 from amaranthtally.simulator.deployment import write_deployment
 from amaranthtally.simulator.mechanisms import variant_names
 from tests.simulator.support import small
@@ -166,7 +166,7 @@
 
 def test_a_broken_promise_ends_a_search_with_1(monkeypatch, capsys):
     def play(job):
-        day = Day(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
+        day = DayResult(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
         return PlayedDay(job.trial, day)
 
     monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._play", play)
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -8,7 +8,7 @@
 from amaranthtally.policy import RefusalReason, Refuse, RequestOutcome
 from amaranthtally.simulator.callers import Callers, Drawn
 from amaranthtally.simulator.clock import VirtualClock
-from amaranthtally.simulator.days import play, play_day
+from amaranthtally.simulator.days import simulate, simulate_day
 from amaranthtally.simulator.draw import draw_deployment
 from amaranthtally.simulator.faults import fault_kinds
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant, variant_names
@@ -29,11 +29,11 @@
 
 
 def played(*faults, seed=1, chosen=POLICY, **options):
-    return play(small(*faults, **options), seed, chosen)
+    return simulate(small(*faults, **options), seed, chosen)
 
 
 def test_a_calm_day_is_on_time():
-    day = play_day(small(), 1)
+    day = simulate_day(small(), 1)
     assert day.broken == ()
     assert day.on_time >= 0.97
     assert day.worth <= day.earned
@@ -41,8 +41,8 @@
 
 def test_a_day_is_the_same_each_time():
     deployment = draw_deployment(14, seconds=6.0)
-    assert play_day(deployment, 2) == play_day(deployment, 2)
-    assert play_day(deployment, 2) != play_day(deployment, 3)
+    assert simulate_day(deployment, 2) == simulate_day(deployment, 2)
+    assert simulate_day(deployment, 2) != simulate_day(deployment, 3)
 
 
 @pytest.mark.parametrize("kind", fault_kinds())
@@ -50,14 +50,14 @@
     target = TARGETS.get(kind, "catalogue/cluj-a/0")
     world = played(fault(kind, target), seconds=16.0)
     assert world.promises.broken == []
-    assert len(world.callers.verdicts) > 100
+    assert len(world.callers.records) > 100
 
 
 @pytest.mark.parametrize("kind", ["crash", "hang", "dark", "slow", "lost_answers"])
 @pytest.mark.parametrize("pool", ["engines", "desk"])
 def test_an_endpoint_that_fails_is_worked_round(kind, pool):
     world = played(fault(kind, f"{pool}/cluj-a/0"), seconds=12.0)
-    after = [v for v in world.callers.verdicts if v.came_at > 8.0]
+    after = [v for v in world.callers.records if v.arrived_at > 8.0]
     assert world.promises.broken == []
     assert sum(v.ending is Ending.ON_TIME for v in after) >= 0.95 * len(after)
 
@@ -68,7 +68,7 @@
     other = played(seconds=4.0, chosen=variant(name))
 
     def came(world):
-        return sorted((v.kind, v.came_at) for v in world.callers.verdicts)
+        return sorted((v.kind, v.arrived_at) for v in world.callers.records)
 
     assert came(other) == came(base)
 
@@ -129,7 +129,7 @@
 def test_drawn_days_keep_the_promises(block):
     """Some order of faults and callers that nobody thought of breaks a promise."""
     for seed in range(5 * block, 5 * block + 5):
-        day = play_day(draw_deployment(seed, seconds=SEARCHED_S), seed)
+        day = simulate_day(draw_deployment(seed, seconds=SEARCHED_S), seed)
         assert day.broken == (), f"deployment {seed}"
 
 
@@ -149,9 +149,9 @@
     callers.refused(request, refusal)
     clock.run(2.5)
     assert sent == [0.0, 2.0]
-    assert callers.verdicts == []
+    assert callers.records == []
     clock.run(3.5)
-    assert [one.ending for one in callers.verdicts] == [Ending.GONE]
+    assert [one.ending for one in callers.records] == [Ending.ABANDONED]
 
 
 def with_patience(kind, patience_s):
