--- a/packages/daemon/src/amaranthtally/daemon/entry/admin.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/admin.py
@@ -129,7 +129,7 @@
         Explanation,
         query=(
             Parameter("key", "Name of the key.", required=True),
-            Parameter("scope", "Scope at which the key is looked up; firm by default."),
+            Parameter("scope", "Scope to look from; firm when left out."),
         ),
     )
     async def explain(self, request: web.Request) -> Explanation:
@@ -187,9 +187,7 @@
         f"{PREFIX}/changes",
         Changes,
         query=(
-            Parameter(
-                "limit", f"Maximum number of changes, {MAX_LIMIT} at most.", "integer"
-            ),
+            Parameter("limit", f"At most so many, {MAX_LIMIT} at most.", "integer"),
             Parameter("before", "Only changes with a lower number.", "integer"),
             Parameter("id", "Only the change with this id."),
             Parameter("key", "Only changes of this key."),
--- a/packages/daemon/src/amaranthtally/daemon/entry/admin_requests.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/admin_requests.py
@@ -35,7 +35,7 @@
     try:
         return max(0, int(text))
     except ValueError as error:
-        detail = f"{name} {text!r}: not a whole number"
+        detail = f"{name} {text!r}: give a whole number"
         raise AdminError(400, "Bad number", detail) from error
 
 
--- a/packages/daemon/src/amaranthtally/daemon/entry/binder.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/binder.py
@@ -193,43 +193,43 @@
 KEY_CONFLICT = Problem(
     422,
     "Key conflict",
-    "The key was used with another input; this input was not run. Use a new key.",
+    "The key was used with another input; this input was not run. Take a new key.",
 )
 _BAD_TOKEN = Problem(
-    403, "Bad token", "The token is not valid here; request a new one and send it."
+    403, "Bad token", "The token is not valid here; ask for a new one and send it."
 )
 _PLATFORM_UNREACHABLE = Problem(
     503,
     "Platform unreachable",
-    "Nothing was sent now; an earlier attempt with the same key may have run. Repeat "
-    "it with the same key. A token, for the next request, works without the platform.",
+    "Nothing was sent now; an earlier try under the same key may have run. "
+    "Repeat it with the same key, or take a token for the next: it needs no platform.",
     retry_after=RETRY_AFTER_S,
 )
 _NO_ENDPOINT = Problem(
     503,
     "No endpoint",
-    "Nothing was sent now; an earlier attempt with the same key may have run. Repeat "
-    "it with the same key.",
+    "Nothing was sent now; an earlier try under the same key may have run. "
+    "Repeat it with the same key.",
     retry_after=RETRY_AFTER_S,
 )
 _BINDING_UNREACHABLE = Problem(
     503,
     "Binding unreachable",
-    "The only endpoint that may run this key does not answer; repeat the request "
-    "with the same key.",
+    "The endpoint that alone may run this key does not answer; "
+    "repeat with the same key.",
     outcome=RequestOutcome.UNKNOWN,
     retry_after=RETRY_AFTER_S,
 )
 _BINDING_ENDED = Problem(
     410,
     "Binding ended",
-    "The only endpoint that could run this key has stopped, and nothing ran under "
-    "the key: use a new key.",
+    "The endpoint that alone could run this key has left, and nothing ran "
+    "under it: take a new key.",
 )
 _PIPELINE_CHANGED = Problem(
     409,
     "Pipeline changed",
-    "The pipeline's stages changed since the key was bound; check the service's own "
-    "records before you use a new key.",
+    "The pipeline's stages changed since the key was bound; look at the "
+    "service's own list before you take a new key.",
     outcome=RequestOutcome.UNKNOWN,
 )
--- a/packages/daemon/src/amaranthtally/daemon/entry/callers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/callers.py
@@ -155,7 +155,7 @@
             return Problem(
                 503,
                 "Starting",
-                "This entry has not loaded its settings yet; try again.",
+                "Settings are not read yet; try again.",
                 retry_after=1,
             )
         account = self._view.account_of(bearer_key(request))
--- a/packages/daemon/src/amaranthtally/daemon/entry/committer.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/committer.py
@@ -51,8 +51,8 @@
 
     def __str__(self) -> str:
         return (
-            f"change {self.winner.number} by {self.winner.who} was committed first "
-            f"({self.winner.why!r}); check the difference and send your change again"
+            f"change {self.winner.number} by {self.winner.who} came first "
+            f"({self.winner.why!r}); look at the difference and send yours again"
         )
 
 
@@ -130,7 +130,7 @@
             return result
         change = result.ok_value
         if change is None:
-            detail = "no such change is stored; see 'amaranthtally audit'"
+            detail = "no such change is kept; see 'amaranthtally audit'"
             return Err(_rejection("", f"change {number}", detail))
         for op in change.ops:
             if self._state.tree.get(Scope.parse(op.scope), op.key) != op.value:
--- a/packages/daemon/src/amaranthtally/daemon/entry/tokens.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/tokens.py
@@ -41,7 +41,7 @@
     """A token is malformed, or not signed with a key that this entry accepts."""
 
     def __str__(self) -> str:
-        return "the token is not valid; request a new one"
+        return "the token is not valid; ask for a new one"
 
 
 class TokenSigner:
