--- a/packages/daemon/src/amaranthtally/daemon/entry/callers.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/callers.py
@@ -28,7 +28,7 @@
     render_problem,
 )
 from amaranthtally.daemon.logs import get_logger
-from amaranthtally.daemon.prompts import arrival_prefix
+from amaranthtally.daemon.prompts import input_prefix_blocks
 from amaranthtally.policy import Arrival, Pipeline
 from amaranthtally.settings import SettingsView
 
@@ -155,7 +155,7 @@
             return Problem(
                 503,
                 "Starting",
-                "This entry has not loaded its settings yet; try again.",
+                "Settings are not read yet; try again.",
                 retry_after=1,
             )
         account = self._view.account_of(bearer_key(request))
@@ -236,7 +236,7 @@
             deadline=received_at + valid.deadline_s,
             input_bytes=len(raw),
             streaming=valid.body.stream,
-            prefix=arrival_prefix(
+            prefix=input_prefix_blocks(
                 valid.account,
                 valid.pipeline,
                 valid.body.input,
--- a/packages/daemon/src/amaranthtally/daemon/entry/committer.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/committer.py
@@ -27,7 +27,7 @@
     encode_change,
     find_overlap,
     undo_ops,
-    with_before,
+    with_previous_values,
 )
 from amaranthtally.settings.models import Served
 
@@ -51,8 +51,8 @@
 
     def __str__(self) -> str:
         return (
-            f"change {self.winner.number} by {self.winner.who} was committed first "
-            f"({self.winner.why!r}); check the difference and send your change again"
+            f"change {self.winner.number} by {self.winner.who} came first "
+            f"({self.winner.why!r}); look at the difference and send yours again"
         )
 
 
@@ -117,7 +117,7 @@
             log.warning("change_refused", who=proposal.who, cause=str(result.err_value))
             return result
         if result.ok_value is None:
-            newest = self._state.log.newest_changes()[-1]
+            newest = self._state.change_log.retained_changes()[-1]
             return Err(ChangeConflict(newest, ()))
         return Ok(result.ok_value)
 
@@ -130,7 +130,7 @@
             return result
         change = result.ok_value
         if change is None:
-            detail = "no such change is stored; see 'amaranthtally audit'"
+            detail = "no such change is kept; see 'amaranthtally audit'"
             return Err(_rejection("", f"change {number}", detail))
         for op in change.ops:
             if self._state.tree.get(Scope.parse(op.scope), op.key) != op.value:
@@ -141,7 +141,7 @@
 
     async def find(self, number: int) -> Result[Change | None, PlatformError]:
         """Return a change by its number, from the platform if not in memory."""
-        change = self._state.log.find(number)
+        change = self._state.change_log.find(number)
         if change is not None:
             return Ok(change)
         return await self._changes.read_change(number)
@@ -187,7 +187,7 @@
         if isinstance(written, Err):
             return written
         stored = written.ok_value
-        self._state.take([stored], "commit")
+        self._state.apply_changes([stored], "commit")
         if stored.id != change.id:
             return Ok(None)
         log.info("change_committed", number=change.number, id=change.id, who=change.who)
@@ -211,9 +211,9 @@
 
     async def _changes_after(self, base: int) -> Result[list[Change], CommitError]:
         revision = self._state.revision
-        if base + 1 >= self._state.log.oldest:
+        if base + 1 >= self._state.change_log.oldest:
             changes_in_memory = (
-                self._state.log.newest_changes() if base < revision else []
+                self._state.change_log.retained_changes() if base < revision else []
             )
             return Ok([change for change in changes_in_memory if change.number > base])
         if revision - base > BLOCK:
@@ -224,7 +224,7 @@
     def _find_by_id(self, change_id: str) -> Change | None:
         if not change_id:
             return None
-        changes_in_memory = self._state.log.newest_changes()
+        changes_in_memory = self._state.change_log.retained_changes()
         return next(
             (change for change in changes_in_memory if change.id == change_id), None
         )
@@ -236,7 +236,7 @@
             who=proposal.who,
             when=datetime.now(UTC).isoformat(timespec="milliseconds"),
             why=proposal.why,
-            ops=with_before(self._state.tree, proposal.ops),
+            ops=with_previous_values(self._state.tree, proposal.ops),
         )
 
     # After the commit
--- a/packages/daemon/src/amaranthtally/daemon/entry/initial_settings.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/initial_settings.py
@@ -33,7 +33,7 @@
         )
         newest = max(deltas, key=lambda delta: delta.revision, default=SettingsDelta(0))
         if newest.revision > 0:
-            state.take_gap(newest, "peer")
+            state.apply_delta(newest, "peer")
             state.loaded.set()
             log.info("settings_from_peers", revision=state.revision, asked=len(peers))
             return
--- a/packages/daemon/src/amaranthtally/daemon/entry/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/service.py
@@ -37,7 +37,7 @@
 from amaranthtally.daemon.lifecycle import (
     StopSignal,
     open_http,
-    run_beside,
+    run_in_background,
     serve_http,
     stop_on_signal,
 )
@@ -117,7 +117,7 @@
         outcome_querier.note_load(endpoint, load)
         client = connections.connected_client(endpoint)
         if client is not None:
-            settings_services.sync.heard(load.revision, client.changes_since)
+            settings_services.sync.note_revision(load.revision, client.changes_since)
 
     connections = SidecarConnections(
         settings.name,
@@ -144,7 +144,7 @@
         settings.stall_timeout,
         settings.prefix_blocks,
     )
-    state.listen(on_change)
+    state.add_listener(on_change)
     initial_load = load_from_peers(
         settings.peers, state, settings_services.follower, settings.connect_timeout
     )
@@ -161,7 +161,7 @@
         probe_endpoints(membership, connections, lambda: executor.endpoints),
         sweeper.run(),
     ):
-        run_beside(stack, background_work)
+        run_in_background(stack, background_work)
 
     def ready() -> bool:
         return state.loaded.is_set() and not stop.is_set()
@@ -176,7 +176,7 @@
             platform="connected" if settings_services.follower.connected else "lost",
             in_flight=executor.in_flight,
             endpoints=len(executor.endpoints),
-            oldest_change=state.log.oldest,
+            oldest_change=state.change_log.oldest,
         )
 
     app = web.Application(client_max_size=settings.max_body_bytes)
--- a/packages/daemon/src/amaranthtally/daemon/entry/snapshots.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/snapshots.py
@@ -17,8 +17,8 @@
     Snapshot,
     SnapshotPointer,
     Tree,
-    cut_snapshot,
     join_snapshot,
+    split_snapshot,
 )
 
 __all__ = ["KEPT_BLOCKS", "SnapshotStore"]
@@ -67,7 +67,7 @@
         block = tree.revision // BLOCK
         if old.block >= block:
             return Ok(False)
-        snapshot = cut_snapshot(tree)
+        snapshot = split_snapshot(tree)
         error = await self._write_parts(block, snapshot)
         if error is not None:
             return Err(error)
--- a/tests/lifecycle/test_model_changes.py
+++ b/tests/lifecycle/test_model_changes.py
@@ -28,7 +28,7 @@
     wait_until_served,
 )
 from tests.lifecycle.support import log_lines
-from tests.settings.helpers import propose, set_value, start_sidecar_beside
+from tests.settings.helpers import propose, set_value, start_second_sidecar
 from tests.support import parse_events, plan, run_async
 
 
@@ -283,7 +283,7 @@
             await start_with_old_model(deployment)
             old = pair.sidecar
             old.send(signal.SIGSTOP)
-            await start_sidecar_beside(deployment, pair)
+            await start_second_sidecar(deployment, pair)
             await commit_change(
                 deployment, *registrations(deployment, OLD_MODEL, NEW_MODEL)
             )
--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -13,12 +13,15 @@
     LeaseExpiredError,
     LeaseGrant,
 )
-from amaranthtally.daemon.sidecar.model_reconciler import RECONCILE_S, ModelReconciler
+from amaranthtally.daemon.sidecar.model_reconciler import (
+    RECONCILE_INTERVAL_S,
+    ModelReconciler,
+)
 from amaranthtally.daemon.sidecar.served_models import ServedModels
 from amaranthtally.policy.model_orders import Load
 from amaranthtally.settings import SidecarSettings
 from amaranthtally.standins.deployment import open_deployment
-from tests.settings.helpers import start_sidecar_beside
+from tests.settings.helpers import start_second_sidecar
 from tests.support import plan, run_async
 
 MODEL = "assessment-7b"
@@ -93,7 +96,7 @@
                 await asyncio.sleep(0.05)
             await deployment.set_knobs(deployment.platform, slow=0.0, lose_answers=0)
             assert await accepted_orders(deployment, pair) == []
-            await start_sidecar_beside(deployment, pair)
+            await start_second_sidecar(deployment, pair)
             await register_models(deployment, [pair], MODEL)
             first = await wait_for_orders(deployment, pair, 1)
             assert first == [(2, MODEL)]
@@ -123,9 +126,9 @@
             (pair,) = deployment.endpoints.values()
             engine = EngineOrders(session, pair.service_url, clock=lambda: 100.0)
             with pytest.raises(LeaseExpiredError):
-                await engine.give(Load("old"), LeaseGrant(1, until=101.0))
+                await engine.send(Load("old"), LeaseGrant(1, valid_until=101.0))
             assert await accepted_orders(deployment, pair) == []
-            await engine.give(Load("new"), LeaseGrant(2, until=103.0))
+            await engine.send(Load("new"), LeaseGrant(2, valid_until=103.0))
             assert await accepted_orders(deployment, pair) == [(2, "new")]
 
     run_async(scenario())
@@ -198,6 +201,6 @@
             reconciler = ModelReconciler(settings, session, served, announce=None)
             for _ in range(2000):
                 pause_s = await reconciler._reconcile()
-            assert pause_s == RECONCILE_S
+            assert pause_s == RECONCILE_INTERVAL_S
 
     run_async(scenario())
