--- a/packages/daemon/src/amaranthtally/daemon/entry/__init__.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry role: callers' HTTP in, stage calls to sidecars out."""
+"""The entry role: serves callers over HTTP and sends stage calls to sidecars."""
--- a/packages/daemon/src/amaranthtally/daemon/entry/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/membership.py
@@ -13,7 +13,7 @@
 
 
 class MembershipListener(Protocol):
-    """Receives the state of endpoints; implemented by what sends calls to them."""
+    """Receives changes of endpoints' availability; implemented by the executor."""
 
     def load_changed(self, endpoint: str, load: Load) -> None:
         """Apply an endpoint's load; it takes new calls unless ``load.leaving``."""
--- a/packages/daemon/src/amaranthtally/daemon/entry/sidecar_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/sidecar_connections.py
@@ -45,7 +45,7 @@
 
     @property
     def open_count(self) -> int:
-        """Sidecars with an open connection."""
+        """Number of sidecars with an open connection."""
         return len(self._clients)
 
     def incarnation(self, endpoint: str) -> int:
--- a/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/entry/stage_calls.py
@@ -85,7 +85,7 @@
 
 
 def read_reply(request: LiveRequest, stage: Stage, reply: StageReply) -> StageResult:
-    """Return the result of an attempt, with a streamed output put together."""
+    """Return an attempt's result; a streamed output is joined from its chunks."""
     outcome = _OUTCOME_BY_STATUS[reply.status]
     output = reply.output
     if outcome is AttemptOutcome.FINISHED and stage.streams:
@@ -114,7 +114,7 @@
 def stage_record(
     stage: Stage, endpoint: Endpoint, attempt: AttemptId, reply: StageReply
 ) -> StageRecord:
-    """Return the entry of a stage in the caller's response."""
+    """Return the record of a stage for the caller's response."""
     return StageRecord(
         name=stage.name,
         endpoint=endpoint.id,
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -21,7 +21,7 @@
 from tests.settings.helpers import admin, propose, set_value
 from tests.support import run_async
 
-NAME = re.compile(r" name=(\S+) .*port=(\d+) http=(\d+)")
+LISTENING_LINE = re.compile(r" name=(\S+) .*port=(\d+) http=(\d+)")
 HOST = "host-shared"
 # The entry gives a hung call up after half of this; the other half is left for running
 # it at another endpoint, also on a busy host.
@@ -37,7 +37,7 @@
     of the shared one.
     """
     kinds = {pool.name: pool.kind for pool in deployment.plan.pools}
-    shared = {
+    settings = {
         "host": HOST,
         "region": pairs[0].region,
         "data_centre": pairs[0].data_centre,
@@ -56,11 +56,11 @@
             for pair in pairs
         ],
     }
-    file = deployment.write_settings("shared", shared)
+    file = deployment.write_settings("shared", settings)
     process = await deployment.start_daemon("sidecar", "shared", file)
     while len(lines := log_lines(process, "listening")) < len(pairs):
         await asyncio.sleep(0.02)
-    ports = {m[1]: int(m[2]) for line in lines if (m := NAME.search(line))}
+    ports = {m[1]: int(m[2]) for line in lines if (m := LISTENING_LINE.search(line))}
     ops = [
         set_value(
             f"endpoint.{pair.id}",
@@ -113,19 +113,21 @@
     async def scenario():
         async with effects_deployment(entries=1, servers=3) as deployment:
             first, second, third = deployment.pool("dispatch")
-            async with shared_sidecar(deployment, first, second) as host:
+            async with shared_sidecar(deployment, first, second) as sidecar:
                 outputs = await place_orders(deployment)
                 assert len(await effects(deployment)) == len(outputs)
                 assert await repeat_all(deployment, outputs) == []
-                shared = [await deployment.records(p.service) for p in (first, second)]
-                assert all(shared)
-                assert await host.stop() == 0
+                service_records = [
+                    await deployment.records(p.service) for p in (first, second)
+                ]
+                assert all(service_records)
+                assert await sidecar.stop() == 0
                 assert third.sidecar.exit_code is None
                 assert await repeat_all(deployment, outputs) == []
                 assert len(await effects(deployment)) == len(outputs)
                 stopped = {
                     line.rpartition("=")[2]
-                    for line in log_lines(host, "sidecar_stopped")
+                    for line in log_lines(sidecar, "sidecar_stopped")
                 }
                 assert stopped == {first.id, second.id}
 
@@ -141,7 +143,7 @@
     async def scenario():
         async with open_deployment(model_plan(2)) as deployment:
             hung, healthy = deployment.pool("assessment")
-            async with shared_sidecar(deployment, hung, healthy) as host:
+            async with shared_sidecar(deployment, hung, healthy) as sidecar:
                 hung.service.send(signal.SIGSTOP)
                 calls = [
                     deployment.call(
@@ -151,7 +153,7 @@
                 ]
                 responses = await asyncio.gather(*calls)
                 assert [a.status for a in responses] == [200] * len(responses)
-                url = f"http://127.0.0.1:{host.ports['http']}/metrics"
+                url = f"http://127.0.0.1:{sidecar.ports['http']}/metrics"
                 async with deployment.http.get(url) as response:
                     text = await response.text()
                 for pair in (hung, healthy):
