--- a/packages/operator/src/amaranthtally/operator/changes.py
+++ b/packages/operator/src/amaranthtally/operator/changes.py
@@ -1,4 +1,4 @@
-"""Sends changes and settles the ones whose answer was lost."""
+"""Commits settings changes and recovers the result when the response is lost."""
 
 import getpass
 import secrets
@@ -23,53 +23,53 @@
 @Parameter(name="*")
 @dataclass(frozen=True)
 class Author:
-    """Who changes something, and why; both are kept in the audit."""
+    """Who makes a change, and why; both are stored in the audit trail."""
 
     reason: str
-    "Why; kept in the audit."
+    "Why the change is made; stored in the audit trail."
     who: Annotated[str, Parameter(env_var="AMARANTHTALLY_WHO")] = ""
-    "Who; the login name by default."
+    "Who makes the change; the login name by default."
 
     @property
     def name(self) -> str:
-        """The name for the audit."""
+        """The name that the audit trail stores."""
         return self.who or getpass.getuser()
 
 
 def commit(
     target: Target, author: Author, ops: list[Op], revision: int | None
 ) -> ExitCode:
-    """Commit a batch made at ``revision`` and print the change."""
+    """Commit ``ops``, prepared at settings revision ``revision``; print the change."""
     change_id = secrets.token_hex(CHANGE_ID_BYTES)
     proposal = Proposal(author.name, author.reason, ops, revision, change_id)
     connection = Connection(target)
-    sent = connection.send("changes", Change, proposal)
-    if isinstance(sent, Err) and sent.err_value.sent:
-        sent = _settle(connection, change_id, sent.err_value)
-    if isinstance(sent, Err):
-        return print_failure(sent.err_value, target.json)
+    committed = connection.send("changes", Change, proposal)
+    if isinstance(committed, Err) and committed.err_value.may_have_applied:
+        committed = _recover_change(connection, change_id, committed.err_value)
+    if isinstance(committed, Err):
+        return print_failure(committed.err_value, target.json)
     if target.json:
-        print_document(sent.ok_value)
+        print_document(committed.ok_value)
     else:
-        print_change(sent.ok_value)
+        print_change(committed.ok_value)
     return ExitCode.DONE
 
 
-def _settle(
-    connection: Connection, change_id: str, lost: Failure
+def _recover_change(
+    connection: Connection, change_id: str, failure: Failure
 ) -> Result[Change, Failure]:
     """
-    Look whether a change whose answer was lost is in the log.
+    Look up a change by its id in the change log after its response was lost.
 
-    An entry that dies after the commit leaves the operator without an answer; sent
-    again under a new id the change would be made twice. It is looked for by its id.
+    An entry that dies after the commit sends no response. Sending the change again
+    under a new id would then apply it twice.
     """
-    sys.stderr.write(f"amaranthtally: {lost}; looking for change {change_id}\n")
-    found = connection.read("changes", Changes, id=change_id)
-    if isinstance(found, Ok) and found.ok_value.changes:
-        return Ok(found.ok_value.changes[0])
+    sys.stderr.write(f"amaranthtally: {failure}; looking up change {change_id}\n")
+    logged = connection.read("changes", Changes, id=change_id)
+    if isinstance(logged, Ok) and logged.ok_value.changes:
+        return Ok(logged.ok_value.changes[0])
     detail = (
-        f"whether change {change_id} was made is not known; "
+        f"it is unknown whether change {change_id} was committed; "
         f"run 'amaranthtally audit --id {change_id}' before sending it again"
     )
     return Err(Failure(ExitCode.UNKNOWN, detail))
--- a/packages/operator/src/amaranthtally/operator/exit_codes.py
+++ b/packages/operator/src/amaranthtally/operator/exit_codes.py
@@ -1,4 +1,4 @@
-"""What the command line's exit says."""
+"""Exit codes of the command line."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes; only after DONE and UNKNOWN may the settings have changed."""
+    """Exit codes; the settings may have changed only with ``DONE`` or ``UNKNOWN``."""
 
     DONE = 0
     REFUSED = 1
--- a/packages/operator/src/amaranthtally/operator/explain.py
+++ b/packages/operator/src/amaranthtally/operator/explain.py
@@ -1,4 +1,4 @@
-"""``explain``: the story of one request, from the logs of every process it touched."""
+"""``explain``: the timeline of one request, from the logs of all its processes."""
 
 import sys
 from collections.abc import Iterable, Iterator
@@ -10,18 +10,18 @@
 from amaranthtally.operator.exit_codes import ExitCode
 from amaranthtally.operator.log_lines import MS_PER_S, LogLine, read_lines
 
-__all__ = ["Story", "add_explain_command", "read_story"]
+__all__ = ["RequestTimeline", "add_explain_command", "read_timeline"]
 
-# Fields that the story's own columns hold.
-COLUMNS = frozenset({"timestamp", "level", "event", "request_id", "requests"})
+# Fields left out of a line's details: its columns show them, or the search fixes them.
+OMITTED_FIELDS = frozenset({"timestamp", "level", "event", "request_id", "requests"})
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """A request's events in order, and how many lines could not be read."""
+class RequestTimeline:
+    """A request's events in time order, and the count of unusable lines with its id."""
 
     lines: tuple[LogLine, ...]
-    unread: int
+    unused_lines: int
 
 
 def add_explain_command(app: App) -> None:
@@ -31,56 +31,69 @@
 
 def explain(request_id: str, logs: list[Path], /) -> ExitCode:
     """
-    Print what was decided on a request, on which facts, and where its time went.
+    Print the decisions taken on a request, their inputs, and where its time went.
 
     Parameters
     ----------
     request_id
-        The caller's id of the request.
+        Id of the request, as the caller knows it.
     logs
-        Logs of the processes, a file each; a file's name is taken as its process.
+        Log files, one for each process; the file's stem is shown as the process name.
     """
     try:
-        story = read_story(request_id, logs)
+        timeline = read_timeline(request_id, logs)
     except OSError as error:
-        sys.stderr.write(f"{error}; give files that can be read\n")
+        sys.stderr.write(f"{error}; give readable files\n")
         return ExitCode.USAGE
-    if story.unread:
-        sys.stderr.write(f"{story.unread} lines are no log lines; they were left out\n")
-    if not story.lines:
-        sys.stderr.write(f"no line names {request_id}; give the logs of its gateway\n")
+    if timeline.unused_lines:
+        sys.stderr.write(
+            f"{timeline.unused_lines} unusable lines that contain the id were skipped\n"
+        )
+    if not timeline.lines:
+        sys.stderr.write(
+            f"no log line mentions {request_id}; give the logs of its gateway\n"
+        )
         return ExitCode.REFUSED
-    for text in render(story):
+    for text in render(timeline):
         sys.stdout.write(f"{text}\n")
     return ExitCode.DONE
 
 
-def read_story(request_id: str, logs: Iterable[Path]) -> Story:
-    """Gather a request's lines from files; raises ``OSError``."""
-    found: list[LogLine] = []
-    unread = 0
+def read_timeline(request_id: str, logs: Iterable[Path]) -> RequestTimeline:
+    """Collect a request's log lines from files; raises ``OSError``."""
+    matching: list[LogLine] = []
+    unused_lines = 0
     for path in logs:
         for line in read_lines(path, request_id):
-            if line is None or not _names(line, request_id):
-                unread += 1
+            if line is None or not _mentions(line, request_id):
+                unused_lines += 1
             else:
-                found.append(line)
-    return Story(tuple(sorted(found, key=lambda line: line.at)), unread)
-
-
-def render(story: Story) -> Iterator[str]:
-    """Return a line an event: time from the first, time since the last, process."""
-    first = last = story.lines[0].at
-    for line in story.lines:
-        from_first = (line.at - first).total_seconds() * MS_PER_S
-        since = (line.at - last).total_seconds() * MS_PER_S
-        last = line.at
-        when = f"{from_first:9.0f} ms +{since:<6.0f}"
-        facts = " ".join(
-            f"{k}={v}" for k, v in line.fields.items() if v and k not in COLUMNS
+                matching.append(line)
+    return RequestTimeline(
+        tuple(sorted(matching, key=lambda line: line.timestamp)), unused_lines
+    )
+
+
+def render(timeline: RequestTimeline) -> Iterator[str]:
+    """
+    Yield one line of text per event.
+
+    It holds the milliseconds since the first and the previous event, the process,
+    the event and its fields.
+    """
+    first = previous = timeline.lines[0].timestamp
+    for line in timeline.lines:
+        since_first_ms = (line.timestamp - first).total_seconds() * MS_PER_S
+        since_previous_ms = (line.timestamp - previous).total_seconds() * MS_PER_S
+        previous = line.timestamp
+        offsets = f"{since_first_ms:9.0f} ms +{since_previous_ms:<6.0f}"
+        details = " ".join(
+            f"{k}={v}" for k, v in line.fields.items() if v and k not in OMITTED_FIELDS
         )
-        yield f"{when} {line.process}: {line.event} {facts}"
+        yield f"{offsets} {line.process}: {line.event} {details}"
 
 
-def _names(line: LogLine, request_id: str) -> bool:
-    return line.text("request_id") == request_id or request_id in line.names("requests")
+def _mentions(line: LogLine, request_id: str) -> bool:
+    return line.text("request_id") == request_id or request_id in line.values(
+        "requests"
+    )
--- a/packages/operator/src/amaranthtally/operator/fleet_commands.py
+++ b/packages/operator/src/amaranthtally/operator/fleet_commands.py
@@ -30,23 +30,23 @@
 
 
 def status(*, target: Target) -> ExitCode:
-    """Print the state of the entry that is asked."""
+    """Print the state of the entry."""
     read = Connection(target).read("status", Status)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
-    found = read.ok_value
+    entry_status = read.ok_value
     if target.json:
-        print_document(found)
+        print_document(entry_status)
         return ExitCode.DONE
     rows = [
-        ("entry", found.entry),
-        ("host", found.host),
-        ("region", found.region),
-        ("ready", "yes" if found.ready else "no"),
-        ("platform", found.platform),
-        ("revision", found.revision),
-        ("requests in flight", found.in_flight),
-        ("endpoints", found.endpoints),
+        ("entry", entry_status.entry),
+        ("host", entry_status.host),
+        ("region", entry_status.region),
+        ("ready", "yes" if entry_status.ready else "no"),
+        ("platform", entry_status.platform),
+        ("revision", entry_status.revision),
+        ("requests in flight", entry_status.in_flight),
+        ("endpoints", entry_status.endpoints),
     ]
     print_table(("FIELD", "VALUE"), rows)
     return ExitCode.DONE
@@ -54,30 +54,30 @@
 
 def endpoints(
     *,
-    pool: Annotated[str, Parameter(help="Only those of this pool.")] = "",
+    pool: Annotated[str, Parameter(help="Print only the endpoints of this pool.")] = "",
     models: Annotated[
-        bool, Parameter(help="Show models, roles and orders.", negative="")
+        bool, Parameter(help="Print models, roles and last orders.", negative="")
     ] = False,
     target: Target,
 ) -> ExitCode:
-    """Print the registered endpoints and what this entry last heard of them."""
+    """Print the registered endpoints and the load they last reported to this entry."""
     read = Connection(target).read("endpoints", Endpoints)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
-    found = read.ok_value
-    rows = [row for row in found.endpoints if pool in ("", row.pool)]
+    document = read.ok_value
+    rows = [row for row in document.endpoints if pool in ("", row.pool)]
     if target.json:
-        print_document(Endpoints(found.revision, rows))
+        print_document(Endpoints(document.revision, rows))
         return ExitCode.DONE
     if models:
-        _print_models(rows)
+        _print_endpoint_models(rows)
     else:
-        _print_loads(rows)
+        _print_endpoint_loads(rows)
     return ExitCode.DONE
 
 
-def _print_models(rows: list[EndpointRow]) -> None:
-    heads = ("ENDPOINT", "POOL", "WANTED", "SERVED", "ROLE", "LAST ORDER")
+def _print_endpoint_models(rows: list[EndpointRow]) -> None:
+    headings = ("ENDPOINT", "POOL", "WANTED", "SERVED", "ROLE", "LAST ORDER")
     cells = [
         (
             row.id,
@@ -89,12 +89,12 @@
         )
         for row in rows
     ]
-    print_table(heads, cells)
+    print_table(headings, cells)
 
 
 def _served(row: EndpointRow) -> str:
     if not row.heard:
-        return "not heard of"
+        return "no report"
     if row.served is None:
         return "any"
     return " ".join(row.served) or "none"
@@ -106,13 +106,13 @@
     return f"{row.engine_role}, to be {row.role}"
 
 
-def _print_loads(rows: list[EndpointRow]) -> None:
-    heads = ("ENDPOINT", "POOL", "HOST", "REGION", "STATE", "RUNNING", "QUEUED")
+def _print_endpoint_loads(rows: list[EndpointRow]) -> None:
+    headings = ("ENDPOINT", "POOL", "HOST", "REGION", "STATE", "RUNNING", "QUEUED")
     cells = [
         (row.id, row.pool, row.host, row.region, _state(row), row.running, row.queued)
         for row in rows
     ]
-    print_table(heads, cells)
+    print_table(headings, cells)
 
 
 def _state(row: EndpointRow) -> str:
@@ -120,16 +120,16 @@
         return "draining"
     if row.leaving:
         return "leaving"
-    return "live" if row.heard else "not heard of"
+    return "live" if row.heard else "no report"
 
 
 def drain(host: Host, /, *, author: Author, target: Target) -> ExitCode:
-    """Give the endpoints of a host no new work; what runs there is finished."""
+    """Send no new work to the endpoints of a host; running work is finished."""
     return _set_drain(host, True, author, target)
 
 
 def undrain(host: Host, /, *, author: Author, target: Target) -> ExitCode:
-    """Give the endpoints of a host work again."""
+    """Send work to the endpoints of a host again."""
     return _set_drain(host, None, author, target)
 
 
@@ -152,15 +152,17 @@
 def audit(
     *,
     limit: Limit = 20,
-    who: Annotated[str, Parameter(help="Only changes by this operator.")] = "",
+    who: Annotated[str, Parameter(help="Print only changes by this operator.")] = "",
     key: KeyName = "",
     change_id: Annotated[
-        str, Parameter(name="--id", help="Only the change with this id.")
+        str, Parameter(name="--id", help="Print only the change with this id.")
     ] = "",
-    before: Annotated[int, Parameter(help="Only changes with a lower number.")] = 0,
+    before: Annotated[
+        int, Parameter(help="Print only changes with a lower number.")
+    ] = 0,
     target: Target,
 ) -> ExitCode:
-    """Print the trail of changes, newest first."""
+    """Print the audit trail of settings changes, newest first."""
     query = {"who": who, "key": key, "id": change_id, "limit": str(limit)}
     if before:
         query["before"] = str(before)
@@ -175,7 +177,7 @@
         for change in read.ok_value.changes
     ]
     if not rows:
-        sys.stdout.write("no such change\n")
+        sys.stdout.write("no matching changes\n")
         return ExitCode.DONE
     print_table(("CHANGE", "WHEN", "WHO", "VALUES", "WHY", "ID"), rows)
     return ExitCode.DONE
--- a/packages/operator/src/amaranthtally/operator/log_lines.py
+++ b/packages/operator/src/amaranthtally/operator/log_lines.py
@@ -1,4 +1,4 @@
-"""Lines that the daemons write, read back: ``key=value`` pairs."""
+"""Parses the daemons' log lines, which consist of ``key=value`` pairs."""
 
 import re
 from collections.abc import Iterator
@@ -9,49 +9,50 @@
 __all__ = ["MS_PER_S", "LogLine", "parse_line", "read_lines"]
 
 MS_PER_S = 1000.0
-PAIR = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
+KEY_VALUE_PAIR = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One event: when, in which process, and what it says."""
+    """One event: its time, process, name and fields."""
 
-    at: datetime
+    timestamp: datetime
     process: str
     event: str
     fields: dict[str, str]
 
     def text(self, name: str) -> str:
-        """Return a field without quotes; empty where the line has none."""
+        """Return a field's text without quotes; empty when the field is missing."""
         return self.fields.get(name, "").strip('"')
 
     def number(self, name: str) -> float:
-        """Return a field as a number; 0 where it is none."""
+        """Return a field as a number; 0 when it is missing or not a number."""
         try:
             return float(self.fields.get(name, ""))
         except ValueError:
             return 0.0
 
-    def names(self, name: str) -> list[str]:
-        """Return a field's values that are separated by commas."""
-        return [one for one in self.text(name).split(",") if one]
+    def values(self, name: str) -> list[str]:
+        """Return the values of a comma-separated field."""
+        return [value for value in self.text(name).split(",") if value]
 
 
 def parse_line(process: str, text: str) -> LogLine | None:
-    """Return a line of a process's log, or ``None`` where it is none."""
-    fields: dict[str, str] = dict(PAIR.findall(text))
+    """Parse a line of a process's log; ``None`` when it has no valid time stamp."""
+    fields: dict[str, str] = dict(KEY_VALUE_PAIR.findall(text))
     try:
-        at = datetime.fromisoformat(fields["timestamp"])
+        timestamp = datetime.fromisoformat(fields["timestamp"])
     except (KeyError, ValueError):
         return None
-    return LogLine(at, process, fields.get("event", "?"), fields)
+    return LogLine(timestamp, process, fields.get("event", "?"), fields)
 
 
 def read_lines(path: Path, containing: str = "") -> Iterator[LogLine | None]:
     """
-    Read the lines of a process's log that contain a text; raises ``OSError``.
+    Yield the lines of a log file that contain a text; raises ``OSError``.
 
-    The process is named after the file; ``None`` stands for what is no log line.
+    The file's stem is taken as the process name. Yields ``None`` for a line that
+    can't be parsed.
     """
     with path.open(encoding="utf-8", errors="replace") as file:
         for text in file:
--- a/packages/operator/src/amaranthtally/operator/main.py
+++ b/packages/operator/src/amaranthtally/operator/main.py
@@ -1,4 +1,4 @@
-"""The ``amaranthtally`` binary."""
+"""The ``amaranthtally`` command."""
 
 import sys
 
@@ -17,8 +17,8 @@
 Operate an amaranthtally deployment.
 
 Exit codes: 0 done, 1 refused, 2 wrong command line, 3 another operator's change
-came first, 4 entry or platform does not answer, 5 outcome unknown, 6 'diff' found
-differences. After 1, 3 and 4 nothing was changed.
+came first, 4 entry or platform unreachable, 5 outcome unknown, 6 'diff' found
+differences. With 1, 3 and 4 nothing was changed.
 """
 
 app = App(name="amaranthtally", help=HELP, result_action="return_value")
--- a/packages/operator/src/amaranthtally/operator/options.py
+++ b/packages/operator/src/amaranthtally/operator/options.py
@@ -1,4 +1,4 @@
-"""Arguments and options that several commands share."""
+"""Arguments and options shared by several commands."""
 
 from pathlib import Path
 from typing import Annotated
@@ -16,7 +16,7 @@
         help="firm, region:NAME, account:NAME, pipeline:NAME, or several joined by /."
     ),
 ]
-Limit = Annotated[int, Parameter(help="At most so many.")]
+Limit = Annotated[int, Parameter(help="Maximum number of changes to print.")]
 Host = Annotated[str, Parameter(help="Name of a host; see 'endpoints'.")]
 SettingsFile = Annotated[
     Path, Parameter(help='A table for each scope: ["pipeline:NAME"], KEY = VALUE.')
--- a/packages/operator/src/amaranthtally/operator/output.py
+++ b/packages/operator/src/amaranthtally/operator/output.py
@@ -1,4 +1,4 @@
-"""What the commands print: tables for people, JSON for scripts."""
+"""Prints results: tables for people, JSON for scripts."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -11,14 +11,20 @@
 from amaranthtally.settings.proposal import Difference
 from amaranthtally.settings.tree import Change, Op
 
-__all__ = ["print_change", "print_document", "print_failure", "print_table", "shown"]
+__all__ = [
+    "format_value",
+    "print_change",
+    "print_document",
+    "print_failure",
+    "print_table",
+]
 
-GAP = "  "
+COLUMN_GAP = "  "
 UNSET = "-"
 
 
-def shown(value: Any) -> str:
-    """Return a value as an operator would write it."""
+def format_value(value: Any) -> str:
+    """Return a value as text: a string as it is, ``-`` when unset, else JSON."""
     if value is None:
         return UNSET
     if isinstance(value, str):
@@ -26,13 +32,13 @@
     return msgspec.json.encode(value).decode()
 
 
-def print_table(heads: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
-    """Print rows under heads, in columns."""
-    lines = [list(heads), *([shown(cell) for cell in row] for row in rows)]
+def print_table(headings: Sequence[str], rows: Iterable[Sequence[Any]]) -> None:
+    """Print rows in aligned columns under their headings."""
+    lines = [list(headings), *([format_value(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
     for line in lines:
         cells = [cell.ljust(width) for cell, width in zip(line, widths, strict=True)]
-        sys.stdout.write(GAP.join(cells).rstrip() + "\n")
+        sys.stdout.write(COLUMN_GAP.join(cells).rstrip() + "\n")
 
 
 def print_document(document: Any) -> None:
@@ -43,7 +49,7 @@
 
 
 def print_change(change: Change) -> None:
-    """Print a change: who, when, why, and what it did."""
+    """Print a change: its author, time, reason and the values that it changed."""
     sys.stdout.write(
         f"change {change.number} ({change.id}) by {change.who} at {change.when}: "
         f"{change.why}\n"
@@ -52,14 +58,14 @@
 
 
 def print_failure(failure: Failure, as_json: bool) -> ExitCode:
-    """Print why a command gave no result; return its exit code."""
+    """Print why a command failed; return its exit code."""
     if as_json and failure.problem is not None:
         print_document(failure.problem)
     sys.stderr.write(f"amaranthtally: {failure}\n")
     problem = failure.problem
     if problem is not None and problem.difference and not as_json:
-        heads = ("SCOPE", "KEY", "BEFORE", "THEIRS", "YOURS")
-        print_table(heads, map(_difference_row, problem.difference))
+        headings = ("SCOPE", "KEY", "BEFORE", "THEIRS", "YOURS")
+        print_table(headings, map(_difference_row, problem.difference))
     return failure.code
 
 
--- a/packages/operator/src/amaranthtally/operator/quantiles.py
+++ b/packages/operator/src/amaranthtally/operator/quantiles.py
@@ -1,4 +1,4 @@
-"""Quantiles of what was observed."""
+"""Quantiles of samples."""
 
 from collections.abc import Sequence
 
@@ -6,7 +6,7 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value that a share of values, from 0 to 1, lies below; 0 if none."""
+    """Return the quantile at ``share``, from 0 to 1; 0 when there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/packages/operator/src/amaranthtally/operator/request_command.py
+++ b/packages/operator/src/amaranthtally/operator/request_command.py
@@ -13,8 +13,9 @@
 
 __all__ = ["add_request_command"]
 
-MARGIN_S = 5.0
-MILLISECONDS = 1000
+# Waited for the response beyond the request's deadline.
+RESPONSE_MARGIN_S = 5.0
+MS_PER_S = 1000
 
 
 class _Stage(msgspec.Struct):
@@ -26,7 +27,7 @@
     attempts: int
 
 
-class _Answer(msgspec.Struct):
+class _Response(msgspec.Struct):
     request_id: str
     output: Any
     stages: list[_Stage]
@@ -59,20 +60,20 @@
         str,
         Parameter(
             env_var="AMARANTHTALLY_ACCOUNT_KEY",
-            help="Bearer key of a client account; better given by the environment.",
+            help="Bearer key of a client account; prefer the environment variable.",
         ),
     ],
     deadline_ms: Annotated[
-        int, Parameter(help="Time the request may take, in milliseconds.")
+        int, Parameter(help="Deadline of the request, in milliseconds from now.")
     ] = 4000,
     idempotency_key: Annotated[
-        str, Parameter(help="Names a request for repeats, where a stage needs it.")
+        str, Parameter(help="Idempotency key, for a pipeline whose stages require one.")
     ] = "",
     json: Annotated[
         bool, Parameter(negative="", help="Print JSON for scripts.")
     ] = False,
 ) -> ExitCode:
-    """Send one request and print its answer and its stages."""
+    """Send one request; print its output and the time of each stage."""
     headers = {"Authorization": f"Bearer {account_key}"}
     if idempotency_key:
         headers["Idempotency-Key"] = idempotency_key
@@ -82,21 +83,21 @@
         status, raw = asyncio.run(_send(url, headers, body))
     except (aiohttp.ClientError, TimeoutError) as error:
         cause = str(error) or type(error).__name__
-        sys.stderr.write(f"amaranthtally: {url} does not answer ({cause})\n")
+        sys.stderr.write(f"amaranthtally: no response from {url} ({cause})\n")
         return ExitCode.UNREACHABLE
     if json:
         sys.stdout.write(raw.decode() + "\n")
     if status != 200:
         return _print_refusal(raw)
     if not json:
-        _print_answer(msgspec.json.decode(raw, type=_Answer))
+        _print_response(msgspec.json.decode(raw, type=_Response))
     return ExitCode.DONE
 
 
 async def _send(
     url: str, headers: dict[str, str], body: dict[str, Any]
 ) -> tuple[int, bytes]:
-    total = body["deadline_ms"] / MILLISECONDS + MARGIN_S
+    total = body["deadline_ms"] / MS_PER_S + RESPONSE_MARGIN_S
     timeout = aiohttp.ClientTimeout(total=total)
     async with (
         aiohttp.ClientSession(timeout=timeout) as http,
@@ -109,18 +110,20 @@
     try:
         problem = msgspec.json.decode(raw, type=_Problem)
     except msgspec.DecodeError:
-        problem = _Problem("No answer", "is this the address for callers?")
+        problem = _Problem(
+            "Unexpected response", "check that the address is the one for callers"
+        )
     sys.stderr.write(
         f"amaranthtally: {problem.title}: {problem.detail} ({problem.outcome})\n"
     )
     return ExitCode.UNKNOWN if problem.outcome == "unknown" else ExitCode.REFUSED
 
 
-def _print_answer(answer: _Answer) -> None:
-    print_document(answer.output)
-    sys.stdout.write(f"request {answer.request_id}\n")
+def _print_response(response: _Response) -> None:
+    print_document(response.output)
+    sys.stdout.write(f"request {response.request_id}\n")
     rows = [
         (s.name, s.endpoint, s.region, s.ms, s.queued_ms, s.attempts)
-        for s in answer.stages
+        for s in response.stages
     ]
     print_table(("STAGE", "ENDPOINT", "REGION", "MS", "QUEUED MS", "ATTEMPTS"), rows)
--- a/packages/operator/src/amaranthtally/operator/settings_commands.py
+++ b/packages/operator/src/amaranthtally/operator/settings_commands.py
@@ -40,7 +40,7 @@
 NewValue = Annotated[
     str,
     Parameter(
-        help='As in TOML: 4000, true, ["encode", "rerank"]; a bare word is a text.'
+        help='As in TOML: 4000, true, ["encode", "rerank"]; other text is a string.'
     ),
 ]
 ChangeNumber = Annotated[int, Parameter(help="Number of a change; see 'audit'.")]
@@ -50,25 +50,25 @@
 
 @app.command
 def get(key: KeyName = "", /, *, scope: Scope = "", target: Target) -> ExitCode:
-    """Print the value that holds at a scope, or every value that is set."""
+    """Print a key's effective value at a scope, or every value that is set."""
     if key:
-        return _get_one(key, scope or FIRM, target)
+        return _print_effective_value(key, scope or FIRM, target)
     read = Connection(target).read("settings", Settings)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
-    found = read.ok_value
-    values = [value for value in found.values if scope in ("", value.scope)]
+    settings = read.ok_value
+    values = [value for value in settings.values if scope in ("", value.scope)]
     if target.json:
-        print_document(Settings(found.revision, values))
+        print_document(Settings(settings.revision, values))
         return ExitCode.DONE
     rows = [(value.scope, value.key, value.value) for value in values]
     print_table(("SCOPE", "KEY", "VALUE"), rows)
-    sys.stdout.write(f"revision {found.revision}\n")
+    sys.stdout.write(f"revision {settings.revision}\n")
     return ExitCode.DONE
 
 
-def _get_one(key: str, scope: str, target: Target) -> ExitCode:
-    read = _explained(key, scope, target)
+def _print_effective_value(key: str, scope: str, target: Target) -> ExitCode:
+    read = _read_explanation(key, scope, target)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
     if target.json:
@@ -78,7 +78,9 @@
     return ExitCode.DONE
 
 
-def _explained(key: str, scope: str, target: Target) -> Result[Explanation, Failure]:
+def _read_explanation(
+    key: str, scope: str, target: Target
+) -> Result[Explanation, Failure]:
     return Connection(target).read(
         "settings/explain", Explanation, key=key, scope=scope
     )
@@ -86,29 +88,31 @@
 
 @app.command
 def explain(key: KeyName, /, *, scope: Scope = FIRM, target: Target) -> ExitCode:
-    """Print which level gives the value that holds at a scope."""
-    read = _explained(key, scope, target)
+    """Print a key's values at a scope and the levels above, and which is in force."""
+    read = _read_explanation(key, scope, target)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
-    found = read.ok_value
+    explanation = read.ok_value
     if target.json:
-        print_document(found)
+        print_document(explanation)
         return ExitCode.DONE
-    unit = f" in {found.unit}" if found.unit else ""
-    sys.stdout.write(f"{found.key}: {found.doc}\n  takes {found.kind}{unit}\n")
+    unit = f" in {explanation.unit}" if explanation.unit else ""
+    sys.stdout.write(
+        f"{explanation.key}: {explanation.doc}\n  takes {explanation.kind}{unit}\n"
+    )
     rows = [
-        (v.scope, v.value, "holds" if n == 0 else "overridden")
-        for n, v in enumerate(found.values)
+        (v.scope, v.value, "in force" if n == 0 else "overridden")
+        for n, v in enumerate(explanation.values)
     ]
     if not rows:
-        rows = [(found.source, found.value, "holds")]
+        rows = [(explanation.source, explanation.value, "in force")]
     print_table(("SET AT", "VALUE", ""), rows)
     return ExitCode.DONE
 
 
 @app.command
 def keys(*, target: Target) -> ExitCode:
-    """Print every key that may be set."""
+    """Print every key that can be set."""
     read = Connection(target).read("settings/keys", Keys)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
@@ -137,18 +141,18 @@
     target: Target,
 ) -> ExitCode:
     """Set one value."""
-    return _change_one(Op(scope, key, parse_value(value)), author, target)
+    return _commit_op(Op(scope, key, parse_value(value)), author, target)
 
 
 @app.command
 def unset(
     key: KeyName, /, *, scope: Scope = FIRM, author: Author, target: Target
 ) -> ExitCode:
-    """Take one value away, so that the level above holds again."""
-    return _change_one(Op(scope, key), author, target)
+    """Remove one value; the value of the level above then applies."""
+    return _commit_op(Op(scope, key), author, target)
 
 
-def _change_one(op: Op, author: Author, target: Target) -> ExitCode:
+def _commit_op(op: Op, author: Author, target: Target) -> ExitCode:
     read = Connection(target).read("settings", Settings)
     if isinstance(read, Err):
         return print_failure(read.err_value, target.json)
@@ -157,40 +161,44 @@
 
 @app.command
 def apply(file: SettingsFile, /, *, author: Author, target: Target) -> ExitCode:
-    """Set every value of a TOML file that differs, all at once or none."""
-    compared = _compare(file, target)
-    if isinstance(compared, Err):
-        return print_failure(compared.err_value, target.json)
-    ops, revision = compared.ok_value
+    """Commit all values of a TOML file that differ, in one atomic change."""
+    differences = _read_differences(file, target)
+    if isinstance(differences, Err):
+        return print_failure(differences.err_value, target.json)
+    ops, revision = differences.ok_value
     if not ops:
-        sys.stdout.write("nothing differs\n")
+        sys.stdout.write("no differences\n")
         return ExitCode.DONE
     return commit(target, author, ops, revision)
 
 
 @app.command
 def diff(file: SettingsFile, /, *, target: Target) -> ExitCode:
-    """Print what 'apply' would change; the exit code is 6 where something differs."""
-    compared = _compare(file, target)
-    if isinstance(compared, Err):
-        return print_failure(compared.err_value, target.json)
-    ops, _ = compared.ok_value
+    """Print what 'apply' would change; the exit code is 6 if anything differs."""
+    differences = _read_differences(file, target)
+    if isinstance(differences, Err):
+        return print_failure(differences.err_value, target.json)
+    ops, _ = differences.ok_value
     if target.json:
         print_document(ops)
     elif ops:
         rows = [(op.scope, op.key, op.before, op.value) for op in ops]
         print_table(("SCOPE", "KEY", "IN FORCE", "FILE"), rows)
     else:
-        sys.stdout.write("nothing differs\n")
+        sys.stdout.write("no differences\n")
     return ExitCode.DIFFERS if ops else ExitCode.DONE
 
 
-def _compare(file: Path, target: Target) -> Result[tuple[list[Op], int], Failure]:
+def _read_differences(
+    file: Path, target: Target
+) -> Result[tuple[list[Op], int], Failure]:
     ops = read_ops(file)
     if isinstance(ops, Err):
         return ops
     read = Connection(target).read("settings", Settings)
-    return read.map(lambda found: (changed_ops(ops.ok_value, found), found.revision))
+    return read.map(
+        lambda settings: (changed_ops(ops.ok_value, settings), settings.revision)
+    )
 
 
 @app.command
@@ -220,20 +228,20 @@
         for op in change.ops
         if op.key == key
     ]
-    heads = ("CHANGE", "WHEN", "WHO", "SCOPE", "BEFORE", "AFTER", "WHY")
-    print_table(heads, rows)
+    headings = ("CHANGE", "WHEN", "WHO", "SCOPE", "BEFORE", "AFTER", "WHY")
+    print_table(headings, rows)
     return ExitCode.DONE
 
 
 @app.command
 def undo(number: ChangeNumber, /, *, author: Author, target: Target) -> ExitCode:
-    """Put back what a change replaced, as a new change."""
+    """Restore the values that a change replaced, in a new change."""
     body = UndoRequest(author.name, author.reason)
-    done = Connection(target).send(f"changes/{number}/undo", Change, body)
-    if isinstance(done, Err):
-        return print_failure(done.err_value, target.json)
+    undone = Connection(target).send(f"changes/{number}/undo", Change, body)
+    if isinstance(undone, Err):
+        return print_failure(undone.err_value, target.json)
     if target.json:
-        print_document(done.ok_value)
+        print_document(undone.ok_value)
     else:
-        print_change(done.ok_value)
+        print_change(undone.ok_value)
     return ExitCode.DONE
--- a/packages/operator/src/amaranthtally/operator/stage_report.py
+++ b/packages/operator/src/amaranthtally/operator/stage_report.py
@@ -1,4 +1,4 @@
-"""What stages of requests took and where it went, from the daemons' log lines."""
+"""Summarises the time of requests' stages, from the daemons' log lines."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -9,12 +9,12 @@
 
 __all__ = ["PoolSpan", "RouteSummary", "StageReport", "build_report"]
 
-# What became of a request that no line says the end of.
-UNENDED = "no end"
+# Outcome of a request for which no line records an end.
+NO_OUTCOME = "no end"
 
 
 class _Call(NamedTuple):
-    """A call with pieces: time stamps in seconds, and the requests it worked for."""
+    """A call with pieces: begin and end in seconds, and the requests it served."""
 
     pool: str
     begin: float
@@ -25,15 +25,16 @@
 @dataclass(slots=True)
 class PoolSpan:
     """
-    Calls to one pool that ended in one span of time.
+    Sums over the calls to one pool that ended in one span of time.
 
-    ``busy_s`` is the sum of their lengths; ``shortages`` counts why calls had places
-    left.
+    ``pieces`` were in the calls, of at most ``batch_limit``, while ``waiting`` pieces
+    were queued. ``busy_s`` is the sum of the calls' durations; ``shortages`` counts
+    the reasons why calls held fewer pieces than their limit.
     """
 
     calls: int = 0
     pieces: int = 0
-    places: int = 0
+    batch_limit: int = 0
     waiting: int = 0
     busy_s: float = 0.0
     endpoints: set[str] = field(default_factory=set)
@@ -46,12 +47,13 @@
     """
     Requests of one route: how they ended, and where their time went, in seconds.
 
-    ``waits_s`` and ``calls_s`` hold, for each pool, the waits of requests for a call
-    and the calls themselves; ``staged_s`` all until its engine was asked, and
-    ``refused_s`` the whole time of those that no engine was asked for.
+    ``waits_s`` and ``calls_s`` hold, for each pool, how long requests waited for a
+    call and how long the calls took. ``staged_s`` holds the times from a request's
+    arrival to its first attempt at an engine, for requests with calls; ``refused_s``
+    the total times of ended requests without such an attempt.
     """
 
-    ends: Counter[str] = field(default_factory=Counter)
+    outcomes: Counter[str] = field(default_factory=Counter)
     waits_s: dict[str, list[float]] = field(default_factory=dict)
     calls_s: dict[str, list[float]] = field(default_factory=dict)
     staged_s: list[float] = field(default_factory=list)
@@ -61,9 +63,10 @@
 @dataclass(slots=True)
 class StageReport:
     """
-    The whole report; ``spans`` by pool and begin of the span in seconds.
+    The report over all logs.
 
-    ``spent_s`` is the endpoints' time by what became of the requests it was spent on.
+    ``spans`` is keyed by pool and the span's begin, in seconds since the first line.
+    ``spent_s`` is the endpoints' time by the outcome of the requests that used it.
     """
 
     spans: dict[tuple[str, float], PoolSpan] = field(default_factory=dict)
@@ -77,74 +80,74 @@
     received: float = 0.0
     sent: float = 0.0
     ended: float = 0.0
-    end: str = UNENDED
+    outcome: str = NO_OUTCOME
     calls: list[_Call] = field(default_factory=list)
 
 
 def build_report(lines: Iterable[LogLine], span_s: float) -> StageReport:
-    """Build the report from lines of all processes; ``span_s`` parts the time."""
+    """Build the report from lines of all processes, in spans of ``span_s`` seconds."""
     report = StageReport()
     requests: defaultdict[str, _Request] = defaultdict(_Request)
-    ordered = sorted(lines, key=lambda line: line.at)
-    start = ordered[0].at.timestamp() if ordered else 0.0
+    ordered = sorted(lines, key=lambda line: line.timestamp)
+    start = ordered[0].timestamp.timestamp() if ordered else 0.0
     for line in ordered:
-        at = line.at.timestamp() - start
+        at_s = line.timestamp.timestamp() - start
         if line.event == "pieces_ended":
-            _take_call(report, requests, line, at, span_s)
-        elif line.event in _TAKERS:
-            _TAKERS[line.event](requests[line.text("request_id")], line, at)
+            _add_call(report, requests, line, at_s, span_s)
+        elif line.event in _EVENT_HANDLERS:
+            _EVENT_HANDLERS[line.event](requests[line.text("request_id")], line, at_s)
     for request in requests.values():
         _summarize(report, request)
     return report
 
 
-def _received(request: _Request, line: LogLine, at: float) -> None:
+def _note_received(request: _Request, line: LogLine, at_s: float) -> None:
     request.route = line.text("route")
-    request.received = at
+    request.received = at_s
 
 
-def _sent(request: _Request, line: LogLine, at: float) -> None:
-    request.sent = request.sent or at
+def _note_sent(request: _Request, line: LogLine, at_s: float) -> None:
+    request.sent = request.sent or at_s
 
 
-def _ended(request: _Request, line: LogLine, at: float) -> None:
-    request.ended = at
+def _note_ended(request: _Request, line: LogLine, at_s: float) -> None:
+    request.ended = at_s
     reason = line.text("reason")
-    request.end = line.text("outcome") + (f" {reason}" if reason else "")
+    request.outcome = line.text("outcome") + (f" {reason}" if reason else "")
 
 
-def _abandoned(request: _Request, line: LogLine, at: float) -> None:
-    request.ended = at
-    request.end = "abandoned"
+def _note_abandoned(request: _Request, line: LogLine, at_s: float) -> None:
+    request.ended = at_s
+    request.outcome = "abandoned"
 
 
-_TAKERS = {
-    "request_received": _received,
-    "attempt_sent": _sent,
-    "request_ended": _ended,
-    "request_abandoned": _abandoned,
+_EVENT_HANDLERS = {
+    "request_received": _note_received,
+    "attempt_sent": _note_sent,
+    "request_ended": _note_ended,
+    "request_abandoned": _note_abandoned,
 }
 
 
-def _take_call(
+def _add_call(
     report: StageReport,
     requests: defaultdict[str, _Request],
     line: LogLine,
-    at: float,
+    at_s: float,
     span_s: float,
 ) -> None:
-    took_s = line.number("ms") / MS_PER_S
+    call_s = line.number("ms") / MS_PER_S
     pool = line.text("pool")
-    span = report.spans.setdefault((pool, at // span_s * span_s), PoolSpan())
+    span = report.spans.setdefault((pool, at_s // span_s * span_s), PoolSpan())
     span.calls += 1
     span.pieces += int(line.number("pieces"))
-    span.places += int(line.number("places"))
+    span.batch_limit += int(line.number("places"))
     span.waiting += int(line.number("waiting"))
-    span.busy_s += took_s
+    span.busy_s += call_s
     span.endpoints.add(line.text("endpoint"))
     span.waits_ms.append(line.number("waited_ms"))
     span.shortages[line.text("shortage")] += 1
-    call = _Call(pool, at - took_s, at, tuple(line.names("requests")))
+    call = _Call(pool, at_s - call_s, at_s, tuple(line.values("requests")))
     for request_id in call.requests:
         requests[request_id].calls.append(call)
 
@@ -152,12 +155,12 @@
 def _summarize(report: StageReport, request: _Request) -> None:
     for call in request.calls:
         share_s = (call.end - call.begin) / len(call.requests)
-        spent_s = report.spent_s.get(request.end, 0.0)
-        report.spent_s[request.end] = spent_s + share_s
+        total_s = report.spent_s.get(request.outcome, 0.0)
+        report.spent_s[request.outcome] = total_s + share_s
     if not request.route:
         return
     summary = report.routes.setdefault(request.route, RouteSummary())
-    summary.ends[request.end] += 1
+    summary.outcomes[request.outcome] += 1
     if request.sent and request.calls:
         summary.staged_s.append(request.sent - request.received)
     if request.ended and not request.sent:
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -1,10 +1,10 @@
-"""The story of one request, gathered from several processes' logs."""
+"""The timeline of one request, collected from the logs of several processes."""
 
-from amaranthtally.operator.explain import read_story, render
+from amaranthtally.operator.explain import read_timeline, render
 
 
 def log_line(at, event, **fields):
-    """Return a line as the daemons write it; ``at`` in seconds."""
+    """Return a line as the daemons write it; ``at`` is its second."""
     pairs = " ".join(f"{key}={value}" for key, value in fields.items())
     stamp = f"2026-01-01T00:00:0{at:.6f}Z"
     return f"timestamp={stamp} level=info event={event} {pairs}"
@@ -23,7 +23,7 @@
 
 
 def write_logs(folder, **logs):
-    """Write a file for each process; return their paths."""
+    """Write a log file for each process; return the paths."""
     paths = []
     for name, lines in logs.items():
         path = folder / f"{name}.log"
@@ -32,25 +32,25 @@
     return paths
 
 
-def story_of(tmp_path, request_id):
-    return read_story(request_id, write_logs(tmp_path, entry=ENTRY, owner=OWNER))
+def timeline_of(tmp_path, request_id):
+    return read_timeline(request_id, write_logs(tmp_path, entry=ENTRY, owner=OWNER))
 
 
-def test_lines_of_all_processes_come_in_order(tmp_path):
-    story = story_of(tmp_path, "r1")
-    assert [(line.process, line.event) for line in story.lines] == [
+def test_lines_of_all_processes_are_in_time_order(tmp_path):
+    timeline = timeline_of(tmp_path, "r1")
+    assert [(line.process, line.event) for line in timeline.lines] == [
         ("entry", "request_received"),
         ("owner", "pieces_ended"),
         ("entry", "request_ended"),
     ]
 
 
-def test_lines_that_can_not_be_read_are_counted_and_not_fatal(tmp_path):
-    assert story_of(tmp_path, "r1").unread == 2
+def test_unusable_lines_are_counted_and_not_fatal(tmp_path):
+    assert timeline_of(tmp_path, "r1").unused_lines == 2
 
 
-def test_the_story_tells_where_the_time_went(tmp_path):
-    first, second, third = render(story_of(tmp_path, "r1"))
+def test_rendered_lines_show_times_and_fields(tmp_path):
+    first, second, third = render(timeline_of(tmp_path, "r1"))
     assert first.split()[0] == "0"
     assert "+500" in second
     assert "fate=lost" in second
@@ -58,5 +58,5 @@
     assert 'reason="too late"' in third
 
 
-def test_nothing_is_found_of_a_request_that_never_came(tmp_path):
-    assert story_of(tmp_path, "r3").lines == ()
+def test_an_unknown_request_has_no_lines(tmp_path):
+    assert timeline_of(tmp_path, "r3").lines == ()
--- a/tests/unit/test_stage_report.py
+++ b/tests/unit/test_stage_report.py
@@ -1,4 +1,4 @@
-"""What ``stages`` reads from the daemons' logs."""
+"""The report that ``stages`` builds from the daemons' logs."""
 
 from amaranthtally.operator.exit_codes import ExitCode
 from amaranthtally.operator.log_lines import parse_line
@@ -35,36 +35,38 @@
     return build_report([line for line in lines if line is not None], 4.0)
 
 
-def test_pools_are_told_by_span():
+def test_pool_sums_are_grouped_by_span():
     (((pool, begin), span),) = report().spans.items()
     assert (pool, begin) == ("ledger", 0.0)
-    assert (span.calls, span.pieces, span.places, span.waiting) == (1, 3, 8, 5)
+    assert (span.calls, span.pieces, span.batch_limit, span.waiting) == (1, 3, 8, 5)
     assert span.shortages == {"memory": 1}
     assert round(span.busy_s, 3) == 0.4
 
 
-def test_routes_are_told_by_end_and_by_where_time_went():
+def test_routes_show_outcomes_and_times():
     summary = report().routes["a"]
-    assert summary.ends == {"answered": 1, "not_run busy": 1}
+    assert summary.outcomes == {"answered": 1, "not_run busy": 1}
     assert [round(s, 3) for s in summary.staged_s] == [1.0]
     assert [round(s, 3) for s in summary.refused_s] == [2.4]
     assert [round(s, 3) for s in summary.waits_s["ledger"]] == [0.2, 0.1]
 
 
-def test_endpoints_time_is_told_by_what_became_of_the_requests():
-    spent = {end: round(spent_s, 3) for end, spent_s in report().spent_s.items()}
+def test_endpoint_time_is_grouped_by_request_outcome():
+    spent = {
+        outcome: round(spent_s, 3) for outcome, spent_s in report().spent_s.items()
+    }
     assert spent == {"answered": 0.2, "not_run busy": 0.2}
 
 
-def test_the_command_counts_lines_that_it_can_not_read(tmp_path, capsys):
+def test_the_command_counts_lines_that_it_can_not_parse(tmp_path, capsys):
     paths = write_logs(tmp_path, entry=ENTRY, owner=OWNER)
     assert stages(paths) is ExitCode.DONE
     printed = capsys.readouterr()
-    assert "1 lines are no log lines" in printed.err
+    assert "1 lines could not be parsed; skipped" in printed.err
     assert "memory 1" in printed.out
 
 
-def test_a_file_that_is_not_there_and_a_span_of_nothing_are_refused(tmp_path, capsys):
+def test_a_missing_file_and_a_span_of_zero_are_refused(tmp_path, capsys):
     assert stages([tmp_path / "none.log"]) is ExitCode.USAGE
     assert stages([], span=0.0) is ExitCode.USAGE
     assert "give seconds" in capsys.readouterr().err
