--- a/packages/operator/src/amaranthtally/operator/settings_commands.py
+++ b/packages/operator/src/amaranthtally/operator/settings_commands.py
@@ -101,11 +101,11 @@
         f"{explanation.key}: {explanation.doc}\n  takes {explanation.kind}{unit}\n"
     )
     rows = [
-        (v.scope, v.value, "in force" if n == 0 else "overridden")
+        (v.scope, v.value, "holds" if n == 0 else "overridden")
         for n, v in enumerate(explanation.values)
     ]
     if not rows:
-        rows = [(explanation.source, explanation.value, "in force")]
+        rows = [(explanation.source, explanation.value, "holds")]
     print_table(("SET AT", "VALUE", ""), rows)
     return ExitCode.DONE
 
