--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -15,8 +15,8 @@
 from amaranthtally.operator.experiment.variants import (
     Ablation,
     Decision,
+    ablated_decisions,
     ablation,
-    registered,
     settings_adapter,
 )
 from amaranthtally.operator.replay.trace import Header, PoolPlan
@@ -55,7 +55,7 @@
 
 def ablations() -> Mapping[str, Decision]:
     """Return the decision that each ablation replaces, by the ablation's name."""
-    return registered()
+    return ablated_decisions()
 
 
 # 1: deadline split
@@ -127,7 +127,7 @@
         self._all_groups = groups
         self._all_loads = loads
         self._all_ejections = ejections
-        self._draws = random
+        self._random_source = random
 
     def choose(
         self, now: float, wanted: RouteRequest, stats: StageStats
@@ -140,7 +140,7 @@
 
     def pick(self, usable: Sequence[Endpoint]) -> Endpoint:
         """Return one of the endpoints that take work."""
-        return self._draws.choice(usable)
+        return self._random_source.choice(usable)
 
     def usable(self, wanted: RouteRequest) -> list[Endpoint]:
         """Return the endpoints that take work."""
@@ -162,9 +162,9 @@
         counts = [
             self._all_loads.get_or_create(endpoint).outstanding for endpoint in usable
         ]
-        least = min(counts)
-        equal = [e for e, n in zip(usable, counts, strict=True) if n == least]
-        return self._draws.choice(equal)
+        fewest = min(counts)
+        equal = [e for e, n in zip(usable, counts, strict=True) if n == fewest]
+        return self._random_source.choice(equal)
 
 
 class ReportedLoad(EndpointLoad):
@@ -278,7 +278,7 @@
 # 6: weight
 
 
-def _weigh(weight: float, header: Header) -> Header:
+def _set_weight(weight: float, header: Header) -> Header:
     pipelines = [
         msgspec.structs.replace(pipeline, weight_attainment=weight)
         for pipeline in header.pipelines
@@ -288,9 +288,9 @@
 
 @ablation("attainment alone", WEIGHT)
 def _attainment_alone() -> Ablation:
-    return Ablation(adapt=partial(_weigh, 1.0))
+    return Ablation(adapt=partial(_set_weight, 1.0))
 
 
 @ablation("cost alone", WEIGHT)
 def _cost_alone() -> Ablation:
-    return Ablation(adapt=partial(_weigh, 0.0))
+    return Ablation(adapt=partial(_set_weight, 0.0))
--- a/packages/operator/src/amaranthtally/operator/experiment/command.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/command.py
@@ -13,7 +13,11 @@
 from amaranthtally.operator.experiment.plan import Plan, narrow_plan, read_plan
 from amaranthtally.operator.experiment.results import Result, summarize
 from amaranthtally.operator.experiment.tables import render_result
-from amaranthtally.operator.experiment.trials import Observation, run_trials, trials_of
+from amaranthtally.operator.experiment.trials import (
+    Observation,
+    plan_trials,
+    run_trials,
+)
 from amaranthtally.operator.experiment.workers import interruptible
 from amaranthtally.operator.replay.errors import TraceError
 
@@ -74,7 +78,7 @@
 
 
 def _observe(plan: Plan, workers: int) -> list[Observation]:
-    total = len(trials_of(plan))
+    total = len(plan_trials(plan))
     observations: list[Observation] = []
     with interruptible(), closing(run_trials(plan, workers)) as running:
         for done, found in enumerate(running, start=1):
--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -18,8 +18,8 @@
 )
 from amaranthtally.operator.experiment.day_tables import (
     plot_differences,
-    render_broken,
     render_comparisons,
+    render_violations,
 )
 from amaranthtally.operator.experiment.trial_log import DayTrial, TrialLog
 from amaranthtally.operator.experiment.workers import interruptible
@@ -37,11 +37,11 @@
 
 __all__ = ["add_day_commands"]
 
-EXIT_BROKEN = 1
+EXIT_VIOLATION = 1
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
 MAIN_FIGURE = "worth"
-LOG_NAME = "days.jsonl"
+TRIAL_LOG_NAME = "days.jsonl"
 # Drawn days that are searched are short: what breaks shows soon after a fault.
 SEARCH_S = 16.0
 DAY_S = 24.0
@@ -109,7 +109,7 @@
     """
     try:
         deployments = _deployments(files, range(first, first + drawn), seconds)
-        chosen = _chosen(variants)
+        chosen = _select_variants(variants)
     except DeploymentError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
@@ -118,10 +118,10 @@
     with interruptible():
         days, was_interrupted = _play(wanted, out, jobs)
     _write(out, days)
-    sys.stdout.write(render_broken(days))
+    sys.stdout.write(render_violations(days))
     if was_interrupted:
         return EXIT_INTERRUPTED
-    return EXIT_BROKEN if _reference_broke(days) else 0
+    return EXIT_VIOLATION if _policy_has_violations(days) else 0
 
 
 def search(*, days: Count = 50, first: int = 1, jobs: Count = 2) -> int:
@@ -146,10 +146,10 @@
     with interruptible(), closing(play_days(wanted, jobs)) as playing:
         for played in track(playing, total=len(wanted), console=console):
             found[played.trial] = played.day
-    sys.stdout.write(render_broken(found))
+    sys.stdout.write(render_violations(found))
     broken = sum(bool(day.broken) for day in found.values())
     sys.stdout.write(f"{len(found)} days, {broken} broke a promise\n")
-    return EXIT_BROKEN if broken else 0
+    return EXIT_VIOLATION if broken else 0
 
 
 def _deployments(
@@ -165,7 +165,7 @@
     return found
 
 
-def _chosen(names: list[str] | None) -> list[str]:
+def _select_variants(names: list[str] | None) -> list[str]:
     known = variant_names()
     wanted = names or known
     for name in wanted:
@@ -177,7 +177,7 @@
     wanted: list[DayJob], out: Path, workers: int
 ) -> tuple[dict[DayTrial, Day], bool]:
     """Play what the directory lacks; return all days, and whether it was cut short."""
-    log = TrialLog(out / LOG_NAME)
+    log = TrialLog(out / TRIAL_LOG_NAME)
     before = log.read()
     days = {job.trial: before[job.trial] for job in wanted if job.trial in before}
     missing = [job for job in wanted if job.trial not in days]
@@ -207,7 +207,7 @@
         plot_differences(comparisons, MAIN_FIGURE, out / "differences.svg")
 
 
-def _reference_broke(days: dict[DayTrial, Day]) -> bool:
+def _policy_has_violations(days: dict[DayTrial, Day]) -> bool:
     return any(
         day.broken for trial, day in days.items() if trial.variant == POLICY.name
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -31,9 +31,9 @@
     pairs: int
 
     @property
-    def is_clear(self) -> bool:
+    def excludes_zero(self) -> bool:
         """Whether the interval of the difference leaves out 0."""
-        return Interval(self.difference, self.half).is_clear
+        return Interval(self.difference, self.half).excludes_zero
 
 
 class DayJob(NamedTuple):
@@ -84,12 +84,13 @@
     for trial, day in days.items():
         key = (trial.digest, trial.seed)
         by_variant.setdefault(trial.variant, {})[key] = day
-    base = by_variant.get(reference, {})
+    reference_days = by_variant.get(reference, {})
     return [
         comparison
         for name, played in by_variant.items()
         for figure in figures
-        if (comparison := _compare_one(name, figure, played, base)) is not None
+        if (comparison := _compare_one(name, figure, played, reference_days))
+        is not None
     ]
 
 
@@ -97,12 +98,14 @@
     name: str,
     figure: str,
     played: Mapping[tuple[str, int], Day],
-    base: Mapping[tuple[str, int], Day],
+    reference_days: Mapping[tuple[str, int], Day],
 ) -> Comparison | None:
-    keys = [key for key in played if key in base]
+    keys = [key for key in played if key in reference_days]
     if len(keys) < 2:
         return None
-    own = [float(getattr(played[key], figure)) for key in keys]
-    other = [float(getattr(base[key], figure)) for key in keys]
-    found = paired_difference(own, other)
-    return Comparison(name, figure, fmean(own), found.mean, found.half, len(keys))
+    variant_values = [float(getattr(played[key], figure)) for key in keys]
+    reference_values = [float(getattr(reference_days[key], figure)) for key in keys]
+    found = paired_difference(variant_values, reference_values)
+    return Comparison(
+        name, figure, fmean(variant_values), found.mean, found.half, len(keys)
+    )
--- a/packages/operator/src/amaranthtally/operator/experiment/intervals.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/intervals.py
@@ -25,7 +25,7 @@
     half: float
 
     @property
-    def is_clear(self) -> bool:
+    def excludes_zero(self) -> bool:
         """Whether 0 is outside of the interval."""
         return abs(self.mean) > self.half
 
--- a/packages/operator/src/amaranthtally/operator/experiment/plan.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/plan.py
@@ -12,9 +12,9 @@
 from amaranthtally.operator.experiment.errors import PlanError
 from amaranthtally.operator.experiment.variants import (
     Variant,
-    named_variant,
+    get_variant,
+    settings_variant,
     variant_names,
-    with_settings,
 )
 from amaranthtally.operator.replay.baselines import POLICY
 from amaranthtally.operator.replay.report import TraceReport
@@ -23,7 +23,7 @@
 
 __all__ = ["Plan", "narrow_plan", "plan_variants", "read_plan"]
 
-LEAST_SEEDS = 2
+MIN_SEEDS = 2
 DEFAULT_FIGURES = [
     *("attainment", "admitted_attainment", "cost_per_answer", "wasted_share"),
 ]
@@ -53,10 +53,10 @@
     baselines: bool = False
 
     @property
-    def subjects(self) -> list[str]:
+    def compared_variants(self) -> list[str]:
         """The reference, then the variants and those that ``settings`` define."""
-        rest = [*self.variants, *self.settings]
-        return [self.reference, *(n for n in rest if n != self.reference)]
+        others = [*self.variants, *self.settings]
+        return [self.reference, *(n for n in others if n != self.reference)]
 
 
 def read_plan(path: Path) -> Plan:
@@ -94,10 +94,10 @@
 def plan_variants(plan: Plan) -> list[Variant]:
     """Return the plan's subjects, ready to run."""
     return [
-        with_settings(name, plan.settings[name])
+        settings_variant(name, plan.settings[name])
         if name in plan.settings
-        else named_variant(name)
-        for name in plan.subjects
+        else get_variant(name)
+        for name in plan.compared_variants
     ]
 
 
@@ -109,21 +109,21 @@
 
 def _check(path: Path, plan: Plan) -> None:
     _check_known(path, "scenario", plan.scenarios, scenario_names())
-    _check_known(path, "figure", plan.figures, TraceReport.stated_names())
+    _check_known(path, "figure", plan.figures, TraceReport.outcome_figure_names())
     names = [*variant_names(), *plan.settings]
     _check_known(path, "variant", [plan.reference, *plan.variants], names)
     _check_settings(path, plan.settings)
-    _check_once(path, "deployment", plan.deployments)
-    _check_once(path, "scenario", plan.scenarios)
-    _check_once(path, "seed", plan.seeds)
-    _check_once(path, "variant", [*plan.variants, *plan.settings])
+    _check_unique(path, "deployment", plan.deployments)
+    _check_unique(path, "scenario", plan.scenarios)
+    _check_unique(path, "seed", plan.seeds)
+    _check_unique(path, "variant", [*plan.variants, *plan.settings])
     for deployment in plan.deployments:
         if not deployment.is_file():
             remedy = "name deployment files as seen from the plan's directory"
             raise PlanError(path, f"no file {deployment}", remedy)
-    if len(plan.seeds) < LEAST_SEEDS:
+    if len(plan.seeds) < MIN_SEEDS:
         detail = f"{len(plan.seeds)} seeds give no interval"
-        raise PlanError(path, detail, f"name {LEAST_SEEDS} or more, better ten")
+        raise PlanError(path, detail, f"name {MIN_SEEDS} or more, better ten")
     if not (plan.deployments and plan.scenarios and plan.figures):
         detail = "deployments, scenarios or figures is empty"
         raise PlanError(path, detail, "name one of each or more")
@@ -138,10 +138,10 @@
         raise PlanError(path, detail, f"choose from {', '.join(known)}")
 
 
-def _check_once(path: Path, kind: str, values: Sequence[object]) -> None:
-    twice = [str(value) for value, n in Counter(values).items() if n > 1]
-    if twice:
-        detail = f"{kind} {', '.join(twice)} stands twice"
+def _check_unique(path: Path, kind: str, values: Sequence[object]) -> None:
+    duplicates = [str(value) for value, n in Counter(values).items() if n > 1]
+    if duplicates:
+        detail = f"{kind} {', '.join(duplicates)} stands twice"
         raise PlanError(path, detail, "name each once: one counted twice narrows")
 
 
--- a/packages/operator/src/amaranthtally/operator/experiment/results.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/results.py
@@ -77,31 +77,31 @@
 
 def summarize(plan: Plan, observations: Iterable[Observation]) -> Result:
     """Return the result of a plan whose traces all ran."""
-    table = _Table(plan, observations)
+    table = _ObservationTable(plan, observations)
     scenarios = [ALL_SCENARIOS, *plan.scenarios]
     comparisons = [
         table.compare(deployment, scenario, variant, figure)
         for deployment in table.deployments
         for scenario in scenarios
-        for variant in plan.subjects
+        for variant in plan.compared_variants
         for figure in plan.figures
     ]
-    return Result(plan.reference, plan.subjects, plan.seeds, comparisons)
+    return Result(plan.reference, plan.compared_variants, plan.seeds, comparisons)
 
 
-class _Table:
+class _ObservationTable:
     """The observations by deployment, scenario, variant and seed."""
 
     def __init__(self, plan: Plan, observations: Iterable[Observation]) -> None:
         self._plan = plan
-        self._found = {
+        self._observations = {
             (o.deployment, o.scenario, o.variant, o.seed): o for o in observations
         }
 
     @property
     def deployments(self) -> list[str]:
         """Deployments in the plan's order."""
-        return list(dict.fromkeys(key[0] for key in self._found))
+        return list(dict.fromkeys(key[0] for key in self._observations))
 
     def compare(
         self, deployment: str, scenario: str, variant: str, figure: str
@@ -120,7 +120,7 @@
             half=mean.half,
             difference=difference.mean,
             difference_half=difference.half,
-            clear=difference.is_clear,
+            clear=difference.excludes_zero,
             values=[round(value, DIGITS) for value in values],
         )
 
@@ -131,7 +131,7 @@
         scenarios = self._plan.scenarios if scenario == ALL_SCENARIOS else [scenario]
         return [
             fmean(
-                self._found[deployment, name, variant, seed].figures[figure]
+                self._observations[deployment, name, variant, seed].figures[figure]
                 for name in scenarios
             )
             for seed in self._plan.seeds
--- a/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
@@ -46,9 +46,9 @@
         """Add a played day, on a line of its own also after one cut short."""
         line = msgspec.json.encode(played) + b"\n"
         with self._path.open("ab") as file:
-            file.write(line if self._ends_whole() else b"\n" + line)
+            file.write(line if self._ends_with_newline() else b"\n" + line)
 
-    def _ends_whole(self) -> bool:
+    def _ends_with_newline(self) -> bool:
         with self._path.open("rb") as file:
             size = file.seek(0, SEEK_END)
             if not size:
--- a/packages/operator/src/amaranthtally/operator/experiment/trials.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trials.py
@@ -11,7 +11,7 @@
 from amaranthtally.operator.experiment.variants import (
     Variant,
     baseline_names,
-    named_variant,
+    get_variant,
 )
 from amaranthtally.operator.experiment.workers import open_workers
 from amaranthtally.operator.replay.baselines import POLICY
@@ -22,7 +22,7 @@
 from amaranthtally.operator.replay.simulation import replay
 from amaranthtally.operator.replay.trace import Trace
 
-__all__ = ["Observation", "Trial", "run_trials", "trials_of"]
+__all__ = ["Observation", "Trial", "run_trials", "plan_trials"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
     figures: dict[str, float]
 
 
-def trials_of(plan: Plan) -> list[Trial]:
+def plan_trials(plan: Plan) -> list[Trial]:
     """Return every trace of a plan, in the plan's order."""
     return [
         Trial(deployment, scenario, seed)
@@ -62,7 +62,7 @@
     processes. What comes out does not depend on ``workers``.
     """
     run = partial(run_trial, plan)
-    trials = trials_of(plan)
+    trials = plan_trials(plan)
     if workers <= 1:
         yield from map(run, trials)
         return
@@ -75,7 +75,7 @@
     trace = make_trace(trial.deployment, trial.scenario, trial.seed)
     bound = clairvoyant_bound(trace)
     names = baseline_names() if plan.baselines else []
-    baselines = [_figures(trace, named_variant(name), bound) for name in names]
+    baselines = [_figures(trace, get_variant(name), bound) for name in names]
     observed = []
     for variant in plan_variants(plan):
         figures = _figures(trace, variant, bound)
@@ -90,7 +90,7 @@
                 scenario=trial.scenario,
                 seed=trial.seed,
                 variant=variant.name,
-                figures=report.stated(),
+                figures=report.outcome_figures(),
             )
         )
     return observed
@@ -98,5 +98,5 @@
 
 def _figures(trace: Trace, variant: Variant, bound: Bound) -> Figures:
     adapted = Trace(variant.adapt(trace.header), trace.arrivals)
-    ledger = replay(adapted, variant.contender)
-    return measure(variant.name, trace.header, ledger, bound.pool)
+    recorder = replay(adapted, variant.contender)
+    return measure(variant.name, trace.header, recorder, bound.pool)
--- a/packages/operator/src/amaranthtally/operator/experiment/variants.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/variants.py
@@ -12,10 +12,10 @@
     POLICY,
     BuildQueue,
     Contender,
-    contender,
     contender_names,
+    get_contender,
 )
-from amaranthtally.operator.replay.entry import Decider
+from amaranthtally.operator.replay.entry import EntryPlanner
 from amaranthtally.operator.replay.trace import Header, PoolPlan
 from amaranthtally.policy import Planner, PlannerComponents, PolicySettings, RunQueue
 
@@ -25,11 +25,11 @@
     "Variant",
     "ablation",
     "baseline_names",
-    "named_variant",
-    "registered",
+    "get_variant",
+    "ablated_decisions",
     "settings_adapter",
     "variant_names",
-    "with_settings",
+    "settings_variant",
 ]
 
 AdaptHeader = Callable[[Header], Header]
@@ -70,12 +70,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Registered:
+class _RegisteredAblation:
     decision: Decision
     ablation: Ablation
 
 
-_ABLATIONS: dict[str, _Registered] = {}
+_ABLATIONS: dict[str, _RegisteredAblation] = {}
 
 
 def ablation(
@@ -84,15 +84,17 @@
     """Register what a function returns as an ablation of a decision."""
 
     def register(build: Callable[[], Ablation]) -> Callable[[], Ablation]:
-        _ABLATIONS[name] = _Registered(decision, build())
+        _ABLATIONS[name] = _RegisteredAblation(decision, build())
         return build
 
     return register
 
 
-def registered() -> Mapping[str, Decision]:
+def ablated_decisions() -> Mapping[str, Decision]:
     """Return the decision that each ablation replaces, by the ablation's name."""
-    return {name: found.decision for name, found in _ABLATIONS.items()}
+    return {
+        name: ablation_entry.decision for name, ablation_entry in _ABLATIONS.items()
+    }
 
 
 def baseline_names() -> list[str]:
@@ -105,19 +107,19 @@
     return [*contender_names(), *_ABLATIONS]
 
 
-def named_variant(name: str) -> Variant:
+def get_variant(name: str) -> Variant:
     """Return an ablation, a baseline or the policy; raises ``KeyError``."""
-    found = _ABLATIONS.get(name)
-    if found is None:
-        return Variant(name, contender(name), _same_header)
-    chosen = found.ablation
+    ablation_entry = _ABLATIONS.get(name)
+    if ablation_entry is None:
+        return Variant(name, get_contender(name), _same_header)
+    chosen = ablation_entry.ablation
     build = partial(_build_planner, chosen.components)
     return Variant(name, Contender(name, build, chosen.build_queue), chosen.adapt)
 
 
-def with_settings(name: str, values: Mapping[str, Any]) -> Variant:
+def settings_variant(name: str, values: Mapping[str, Any]) -> Variant:
     """Return the policy under other values of ``PolicySettings``."""
-    return Variant(name, contender(POLICY), settings_adapter(values))
+    return Variant(name, get_contender(POLICY), settings_adapter(values))
 
 
 def settings_adapter(values: Mapping[str, Any]) -> AdaptHeader:
@@ -131,5 +133,5 @@
 
 def _build_planner(
     components: PlannerComponents, settings: PolicySettings, random: Random
-) -> Decider:
+) -> EntryPlanner:
     return Planner(settings, random, components)
--- a/packages/operator/src/amaranthtally/operator/experiment/workers.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/workers.py
@@ -28,9 +28,9 @@
     Ended by a signal at once, a command would leave its workers waiting for ever.
     """
     signals = (signal.SIGINT, signal.SIGTERM)
-    before = [signal.signal(one, signal.default_int_handler) for one in signals]
+    before = [signal.signal(number, signal.default_int_handler) for number in signals]
     try:
         yield
     finally:
-        for one, handler in zip(signals, before, strict=True):
-            signal.signal(one, handler)
+        for number, handler in zip(signals, before, strict=True):
+            signal.signal(number, handler)
--- a/packages/operator/src/amaranthtally/operator/replay/baselines.py
+++ b/packages/operator/src/amaranthtally/operator/replay/baselines.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from amaranthtally.operator.replay.entry import Decider
+from amaranthtally.operator.replay.entry import EntryPlanner
 from amaranthtally.operator.replay.queues import FirstInFirstOut
 from amaranthtally.operator.replay.sidecar import Queue
 from amaranthtally.operator.replay.trace import PoolPlan
@@ -32,12 +32,12 @@
     Send,
 )
 
-__all__ = ["POLICY", "Contender", "contender", "contender_names"]
+__all__ = ["POLICY", "Contender", "get_contender", "contender_names"]
 
 POLICY = "policy"
 UNBOUNDED = 1_000_000
 
-BuildPlanner = Callable[[PolicySettings, Random], Decider]
+BuildPlanner = Callable[[PolicySettings, Random], EntryPlanner]
 BuildQueue = Callable[[PoolPlan], Queue]
 
 
@@ -58,12 +58,14 @@
     return list(_CONTENDERS)
 
 
-def contender(name: str) -> Contender:
+def get_contender(name: str) -> Contender:
     """Return a contender; raises ``KeyError``."""
     return _CONTENDERS[name]
 
 
-def _contender(name: str, queue: BuildQueue) -> Callable[[BuildPlanner], BuildPlanner]:
+def _register_contender(
+    name: str, queue: BuildQueue
+) -> Callable[[BuildPlanner], BuildPlanner]:
     def register(build_planner: BuildPlanner) -> BuildPlanner:
         _CONTENDERS[name] = Contender(name, build_planner, queue)
         return build_planner
@@ -230,26 +232,26 @@
         return Refuse(request.arrival.request_id, outcome, reason)
 
 
-@_contender(POLICY, _run_queue)
-def _policy(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender(POLICY, _run_queue)
+def _policy(settings: PolicySettings, random: Random) -> EntryPlanner:
     return Planner(settings, random)
 
 
-@_contender("round robin", _bounded)
-def _round_robin(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("round robin", _bounded)
+def _round_robin(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, False, RetryRule(1, True))
 
 
-@_contender("least outstanding", _bounded)
-def _least_outstanding(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("least outstanding", _bounded)
+def _least_outstanding(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_contender("no admission", _unbounded)
-def _no_admission(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("no admission", _unbounded)
+def _no_admission(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_contender("retry thrice", _bounded)
-def _retry_thrice(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("retry thrice", _bounded)
+def _retry_thrice(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(3, False))
--- a/packages/operator/src/amaranthtally/operator/replay/bound.py
+++ b/packages/operator/src/amaranthtally/operator/replay/bound.py
@@ -24,7 +24,7 @@
 )
 from amaranthtally.operator.replay.work import WorkModel
 
-__all__ = ["Bound", "Job", "clairvoyant_bound", "most_on_time"]
+__all__ = ["Bound", "Job", "clairvoyant_bound", "max_on_time_jobs"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,22 +53,22 @@
 def clairvoyant_bound(trace: Trace) -> Bound:
     """Return the tightest bound; its pool is the one with the least room."""
     total = len(trace.arrivals)
-    good, scarcest, busiest = total, "", 0.0
+    good, bottleneck, busiest = total, "", 0.0
     capacity = 0.0
     for pool in trace.header.pools:
         jobs = _jobs(trace, pool)
         if not jobs:
             continue
-        good = min(good, total - len(jobs) + most_on_time(jobs))
+        good = min(good, total - len(jobs) + max_on_time_jobs(jobs))
         served = _calls_per_s(trace.header, pool, jobs)
         busy = len(jobs) / trace.header.duration_s / served
         if busy > busiest:
-            scarcest, busiest, capacity = pool.name, busy, served
+            bottleneck, busiest, capacity = pool.name, busy, served
     attainment = round(good / total, 4) if total else 1.0
-    return Bound(good, attainment, scarcest, round(capacity, 2))
+    return Bound(good, attainment, bottleneck, round(capacity, 2))
 
 
-def most_on_time(jobs: list[Job]) -> int:
+def max_on_time_jobs(jobs: list[Job]) -> int:
     """Return how many of the jobs, ordered by release and due, can be on time."""
     kept: list[Job] = []
     ends: list[float] = []
@@ -77,11 +77,11 @@
         kept.append(job)
         ends.append(start + job.work)
         if ends[-1] > job.due:
-            _drop_best(kept, ends)
+            _drop_job(kept, ends)
     return len(kept)
 
 
-def _drop_best(kept: list[Job], ends: list[float]) -> None:
+def _drop_job(kept: list[Job], ends: list[float]) -> None:
     """Drop the job without which the last one ends soonest."""
     slack = float("inf")
     best, gain = len(kept) - 1, -1.0
@@ -108,7 +108,7 @@
 # Jobs
 
 
-class _WorkClock:
+class _CumulativeWork:
     """Maps time to the work that a pool can have done by then."""
 
     def __init__(self, header: Header, pool: PoolPlan) -> None:
@@ -130,38 +130,42 @@
     header = trace.header
     work = WorkModel(header.seed)
     plans = {plan.name: plan for plan in header.pipelines}
-    places = {name: _stage_at(plan, pool.name) for name, plan in plans.items()}
-    users = [a for a in trace.arrivals if places[a.pipeline] is not None]
-    clock = _WorkClock(header, pool)
-    before, after = _least_around(trace, pool, work)
-    found = []
-    for arrival in users:
-        stage = places[arrival.pipeline]
+    stage_indexes = {
+        name: _stage_index(plan, pool.name) for name, plan in plans.items()
+    }
+    pool_arrivals = [a for a in trace.arrivals if stage_indexes[a.pipeline] is not None]
+    cumulative_work = _CumulativeWork(header, pool)
+    before, after = _min_time_around(trace, pool, work)
+    jobs = []
+    for arrival in pool_arrivals:
+        stage = stage_indexes[arrival.pipeline]
         assert stage is not None
         deadline_s = plans[arrival.pipeline].deadline_s
-        seconds = work.of(arrival.id, stage, pool).seconds
-        found.append(
+        seconds = work.stage_work(arrival.id, stage, pool).seconds
+        jobs.append(
             Job(
-                clock.work_by(arrival.at + before),
-                clock.work_by(arrival.at + deadline_s - after),
+                cumulative_work.work_by(arrival.at + before),
+                cumulative_work.work_by(arrival.at + deadline_s - after),
                 seconds,
             )
         )
-    return found
+    return jobs
 
 
-def _least_around(trace: Trace, pool: PoolPlan, work: WorkModel) -> tuple[float, float]:
+def _min_time_around(
+    trace: Trace, pool: PoolPlan, work: WorkModel
+) -> tuple[float, float]:
     """Return the least time of any request before and after its call to a pool."""
     pools = {p.name: p for p in trace.header.pools}
     plans = {plan.name: plan for plan in trace.header.pipelines}
     before, after = [], []
     for arrival in trace.arrivals:
         plan = plans[arrival.pipeline]
-        at = _stage_at(plan, pool.name)
+        at = _stage_index(plan, pool.name)
         if at is None:
             continue
         seconds = [
-            work.of(arrival.id, i, pools[stage.pool]).seconds
+            work.stage_work(arrival.id, i, pools[stage.pool]).seconds
             for i, stage in enumerate(plan.stages)
         ]
         before.append(sum(seconds[:at]))
@@ -169,7 +173,7 @@
     return min(before, default=0.0), min(after, default=0.0)
 
 
-def _stage_at(plan: PipelinePlan, pool: str) -> int | None:
+def _stage_index(plan: PipelinePlan, pool: str) -> int | None:
     return next((i for i, s in enumerate(plan.stages) if s.pool == pool), None)
 
 
@@ -185,12 +189,12 @@
 
 def _speed(header: Header, endpoint: str, time: float) -> float:
     speed = 1.0
-    for fault in _struck_at(header, endpoint, time):
-        speed *= 0.0 if fault is FaultKind.FAILING else _slowness(header, endpoint)
+    for fault in _active_faults(header, endpoint, time):
+        speed *= 0.0 if fault is FaultKind.FAILING else _slowed_speed(header, endpoint)
     return speed
 
 
-def _slowness(header: Header, endpoint: str) -> float:
+def _slowed_speed(header: Header, endpoint: str) -> float:
     slow = [
         f.factor
         for f in header.faults
@@ -199,7 +203,7 @@
     return 1.0 / max(slow)
 
 
-def _struck_at(header: Header, endpoint: str, time: float) -> Iterable[FaultKind]:
+def _active_faults(header: Header, endpoint: str, time: float) -> Iterable[FaultKind]:
     return [
         f.kind
         for f in header.faults
--- a/packages/operator/src/amaranthtally/operator/replay/command.py
+++ b/packages/operator/src/amaranthtally/operator/replay/command.py
@@ -7,11 +7,20 @@
 import msgspec
 from cyclopts import App, Parameter
 
-from amaranthtally.operator.replay.baselines import POLICY, contender, contender_names
+from amaranthtally.operator.replay.baselines import (
+    POLICY,
+    contender_names,
+    get_contender,
+)
 from amaranthtally.operator.replay.bound import clairvoyant_bound
 from amaranthtally.operator.replay.errors import OutcomesError, TraceError
 from amaranthtally.operator.replay.measures import measure
-from amaranthtally.operator.replay.outcomes import Miss, Outcomes, check, read_outcomes
+from amaranthtally.operator.replay.outcomes import (
+    MissedOutcome,
+    Outcomes,
+    check,
+    read_outcomes,
+)
 from amaranthtally.operator.replay.report import TraceReport, build_report
 from amaranthtally.operator.replay.scenarios import make_trace, scenario_names
 from amaranthtally.operator.replay.simulation import replay
@@ -28,7 +37,7 @@
 
 class _Printed(msgspec.Struct, frozen=True):
     reports: list[TraceReport]
-    misses: list[Miss]
+    misses: list[MissedOutcome]
 
 
 def register(app: App) -> None:
@@ -42,7 +51,7 @@
     header = trace.header
     bound = clairvoyant_bound(trace)
     figures = [
-        measure(each, header, replay(trace, contender(each)), bound.pool)
+        measure(each, header, replay(trace, get_contender(each)), bound.pool)
         for each in contenders
     ]
     return build_report(name, header, bound, figures)
--- a/packages/operator/src/amaranthtally/operator/replay/endpoints.py
+++ b/packages/operator/src/amaranthtally/operator/replay/endpoints.py
@@ -18,10 +18,10 @@
 __all__ = ["CHUNK_TOKENS", "FakeEndpoint", "Run", "build_endpoint"]
 
 CHUNK_TOKENS = 32
-FAILS_AFTER_S = 0.005
+FAILURE_DELAY_S = 0.005
 
-Done = Callable[[bool], None]
-Progress = Callable[[int], None]
+OnDone = Callable[[bool], None]
+OnProgress = Callable[[int], None]
 
 
 @dataclass(slots=True, eq=False)
@@ -36,8 +36,8 @@
     tokens: int
     prefix: tuple[int, ...]
     resume_chunks: int
-    done: Done
-    progress: Progress
+    done: OnDone
+    progress: OnProgress
     ended: bool = field(default=False, init=False)
 
 
@@ -73,16 +73,16 @@
         """Start a call."""
         self._running[run] = None
         if self._failing:
-            self._clock.after(FAILS_AFTER_S, partial(self._end, run, False))
+            self._clock.after(FAILURE_DELAY_S, partial(self._end, run, False))
             return
-        self._begin(run)
+        self._run(run)
 
     def cancel(self, run: Run) -> None:
         """Stop a call at once without an answer."""
         run.ended = True
         self._running.pop(run, None)
 
-    def _begin(self, run: Run) -> None:
+    def _run(self, run: Run) -> None:
         raise NotImplementedError
 
     def _end(self, run: Run, finished: bool) -> None:
@@ -114,7 +114,7 @@
 class FakeServer(FakeEndpoint):
     """Runs each call at its own constant speed."""
 
-    def _begin(self, run: Run) -> None:
+    def _run(self, run: Run) -> None:
         self._clock.after(run.seconds * self._slowdown, partial(self._end, run, True))
 
 
@@ -156,27 +156,27 @@
     """
     Batches continuously: each running call advances one token a step.
 
-    ``_steps`` counts decode steps as real numbers, so that a change of batch size
-    moves one next event only. Prefill is charged as steps of the same call.
+    ``_decode_steps`` counts decode steps as real numbers, so that a change of batch
+    size moves one next event only. Prefill is charged as steps of the same call.
     """
 
     def __init__(self, clock: VirtualClock, pool: PoolPlan) -> None:
         super().__init__(clock, pool)
         self._cache = _PrefixCache(pool.cache_blocks)
-        self._waiting: deque[Run] = deque()
-        self._marks: list[tuple[float, int, Run, int]] = []
+        self._queued: deque[Run] = deque()
+        self._chunk_events: list[tuple[float, int, Run, int]] = []
         self._batch: dict[Run, None] = {}
-        self._steps = 0.0
-        self._counted_at = 0.0
+        self._decode_steps = 0.0
+        self._steps_updated_at = 0.0
         self._serial = 0
-        self._schedule = 0
-        self._events = 0
+        self._schedule_version = 0
+        self._cache_event_count = 0
 
     def slow_down(self, factor: float) -> None:
         """Take ``factor`` times as long for each step from now on."""
-        self._count_steps()
+        self._update_steps()
         super().slow_down(factor)
-        self._plan_next()
+        self._schedule_next_event()
 
     def clear_cache(self) -> None:
         """Forget cached prefixes."""
@@ -184,76 +184,78 @@
 
     def cancel(self, run: Run) -> None:
         """Take a call out of the batch."""
-        self._count_steps()
+        self._update_steps()
         super().cancel(run)
         self._batch.pop(run, None)
         self._fill_batch()
 
-    def _begin(self, run: Run) -> None:
-        self._count_steps()
-        self._waiting.append(run)
+    def _run(self, run: Run) -> None:
+        self._update_steps()
+        self._queued.append(run)
         self._fill_batch()
 
     def _fill_batch(self) -> None:
-        while self._waiting and len(self._batch) < self._pool.slots:
-            run = self._waiting.popleft()
+        while self._queued and len(self._batch) < self._pool.slots:
+            run = self._queued.popleft()
             if not run.ended:
                 self._batch[run] = None
-                self._mark_steps(run)
-        self._plan_next()
+                self._schedule_chunks(run)
+        self._schedule_next_event()
 
-    def _mark_steps(self, run: Run) -> None:
+    def _schedule_chunks(self, run: Run) -> None:
         use = self._cache.use(run.prefix)
         self._publish(use.stored, use.removed)
         missed = len(run.prefix) - use.hits
         prefill_s = missed * self._pool.block_tokens * self._pool.prefill_token_s
-        first = self._steps + prefill_s / self._pool.token_s
-        slower = run.seconds / (run.tokens * self._pool.token_s)
+        first = self._decode_steps + prefill_s / self._pool.token_s
+        steps_per_token = run.seconds / (run.tokens * self._pool.token_s)
         done_before = min(run.resume_chunks * CHUNK_TOKENS, run.tokens - 1)
         chunk = done_before // CHUNK_TOKENS
         while chunk * CHUNK_TOKENS < run.tokens:
             chunk += 1
             tokens = min(chunk * CHUNK_TOKENS, run.tokens) - done_before
             self._serial += 1
-            mark = (first + tokens * slower, self._serial, run, chunk)
-            heapq.heappush(self._marks, mark)
+            chunk_event = (first + tokens * steps_per_token, self._serial, run, chunk)
+            heapq.heappush(self._chunk_events, chunk_event)
 
     def _publish(self, stored: tuple[int, ...], removed: tuple[int, ...]) -> None:
         if self._on_cache_event is None or not (stored or removed):
             return
-        self._events += 1
-        if self._pool.event_gap and self._events % self._pool.event_gap == 0:
+        self._cache_event_count += 1
+        if self._pool.event_gap and self._cache_event_count % self._pool.event_gap == 0:
             return
-        event = CacheEvent(self._events, stored, removed)
-        tell = partial(self._on_cache_event, event)
-        self._clock.after(self._pool.event_lag_s, tell)
+        event = CacheEvent(self._cache_event_count, stored, removed)
+        publish = partial(self._on_cache_event, event)
+        self._clock.after(self._pool.event_lag_s, publish)
 
     def _step_s(self) -> float:
         neighbours = max(0, len(self._batch) - 1)
         slope = 1.0 + self._pool.batch_slope * neighbours
         return self._pool.token_s * slope * self._slowdown
 
-    def _count_steps(self) -> None:
+    def _update_steps(self) -> None:
         now = self._clock.now
         if self._batch:
-            self._steps += (now - self._counted_at) / self._step_s()
-        self._counted_at = now
-
-    def _plan_next(self) -> None:
-        while self._marks and self._marks[0][2].ended:
-            heapq.heappop(self._marks)
-        self._schedule += 1
-        if self._marks:
-            delay_s = (self._marks[0][0] - self._steps) * self._step_s()
-            self._clock.after(max(0.0, delay_s), partial(self._step, self._schedule))
-
-    def _step(self, schedule: int) -> None:
-        if schedule != self._schedule:
+            self._decode_steps += (now - self._steps_updated_at) / self._step_s()
+        self._steps_updated_at = now
+
+    def _schedule_next_event(self) -> None:
+        while self._chunk_events and self._chunk_events[0][2].ended:
+            heapq.heappop(self._chunk_events)
+        self._schedule_version += 1
+        if self._chunk_events:
+            delay_s = (self._chunk_events[0][0] - self._decode_steps) * self._step_s()
+            self._clock.after(
+                max(0.0, delay_s), partial(self._run_next_event, self._schedule_version)
+            )
+
+    def _run_next_event(self, schedule_version: int) -> None:
+        if schedule_version != self._schedule_version:
             return
-        self._count_steps()
-        _, _, run, chunk = heapq.heappop(self._marks)
+        self._update_steps()
+        _, _, run, chunk = heapq.heappop(self._chunk_events)
         if chunk * CHUNK_TOKENS < run.tokens:
             run.progress(chunk)
-            self._plan_next()
+            self._schedule_next_event()
         else:
             self._end(run, True)
--- a/packages/operator/src/amaranthtally/operator/replay/entry.py
+++ b/packages/operator/src/amaranthtally/operator/replay/entry.py
@@ -6,8 +6,8 @@
 from typing import Any, Protocol
 
 from amaranthtally.operator.replay.errors import DoubleEndError, UnknownActionError
-from amaranthtally.operator.replay.ledger import Ledger
 from amaranthtally.operator.replay.network import Network
+from amaranthtally.operator.replay.recorder import ReplayRecorder
 from amaranthtally.operator.replay.sidecar import Call, FakeSidecar
 from amaranthtally.operator.replay.trace import TraceArrival
 from amaranthtally.policy import (
@@ -27,12 +27,12 @@
     Send,
 )
 
-__all__ = ["Decider", "EntryReplay"]
+__all__ = ["EntryPlanner", "FakeEntry"]
 
 TICK_S = 0.01
 
 
-class Decider(Protocol):
+class EntryPlanner(Protocol):
     """What an entry asks of its planner; the policy's ``Planner`` is one."""
 
     def request_arrived(self, now: float, arrival: Arrival) -> list[Action]:
@@ -59,41 +59,41 @@
 
 
 @dataclass(slots=True)
-class _Flight:
+class _LiveAttempt:
     endpoint: str
     size: int
 
 
 @dataclass(slots=True)
-class _Live:
+class _LiveRequest:
     arrival: Arrival
-    flights: dict[AttemptId, _Flight]
+    attempts: dict[AttemptId, _LiveAttempt]
     output_bytes: int = 0
 
 
-class EntryReplay:
+class FakeEntry:
     """Does what ``Executor`` of the daemon does, without I/O."""
 
     def __init__(
         self,
         region: str,
-        planner: Decider,
+        planner: EntryPlanner,
         network: Network,
         fleet: Mapping[str, FakeSidecar],
-        ledger: Ledger,
+        recorder: ReplayRecorder,
     ) -> None:
         self._region = region
         self._planner = planner
         self._network = network
         self._clock = network.clock
         self._fleet = fleet
-        self._ledger = ledger
-        self._live: dict[str, _Live] = {}
-        self._carry_out_table: dict[type, Callable[[Any], None]] = {
+        self._recorder = recorder
+        self._live: dict[str, _LiveRequest] = {}
+        self._handlers: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             Cancel: self._cancel,
-            QueryAttempt: self._ask,
-            PollLoad: self._greet,
+            QueryAttempt: self._query_attempt,
+            PollLoad: self._poll_load,
             Answer: self._answer,
             Refuse: self._refuse,
         }
@@ -103,17 +103,17 @@
         """The entry's region."""
         return self._region
 
-    def greet(self) -> None:
+    def load_initial_reports(self) -> None:
         """Take the load that each sidecar greets with."""
         for name, sidecar in self._fleet.items():
-            self._carry_out(self._planner.load_report(0.0, name, sidecar.load()))
+            self._execute(self._planner.load_report(0.0, name, sidecar.load()))
 
-    def hear_cache(self, sidecar: FakeSidecar, event: CacheEvent) -> None:
+    def deliver_cache_event(self, sidecar: FakeSidecar, event: CacheEvent) -> None:
         """Take an engine's cache event, unless a cut keeps it."""
-        if self._network.reaches(self._region, sidecar.plan):
+        if self._network.is_reachable(self._region, sidecar.plan):
             name = sidecar.plan.id
             now = self._clock.now
-            self._carry_out(self._planner.cache_event(now, name, event))
+            self._execute(self._planner.cache_event(now, name, event))
 
     def arrive(self, recorded: TraceArrival, pipeline: Pipeline) -> None:
         """Hand a recorded request to the planner."""
@@ -126,47 +126,49 @@
             input_bytes=recorded.input_bytes,
             prefix=tuple(recorded.prefix),
         )
-        self._live[recorded.id] = _Live(arrival, {})
-        self._ledger.open(recorded, arrival.deadline)
-        self._carry_out(self._planner.request_arrived(now, arrival))
-        record = self._ledger.request(recorded.id)
+        self._live[recorded.id] = _LiveRequest(arrival, {})
+        self._recorder.start_request(recorded, arrival.deadline)
+        self._execute(self._planner.request_arrived(now, arrival))
+        record = self._recorder.request(recorded.id)
         record.admitted = record.outcome is None
 
     def tick(self) -> None:
         """Let the planner act on the passing of time, again and again."""
-        self._carry_out(self._planner.tick(self._clock.now))
+        self._execute(self._planner.tick(self._clock.now))
         self._clock.after(TICK_S, self.tick)
 
-    def lose_region(self, region: str) -> None:
+    def lose_attempts_across(self, region: str) -> None:
         """Lose the attempts whose endpoint is across a cut around ``region``."""
         crossing = [
             attempt
             for live in self._live.values()
-            for attempt, flight in live.flights.items()
-            if (self._fleet[flight.endpoint].plan.region == region)
+            for attempt, live_attempt in live.attempts.items()
+            if (self._fleet[live_attempt.endpoint].plan.region == region)
             != (self._region == region)
         ]
         for attempt in crossing:
-            self._ended(attempt, AttemptResult(AttemptOutcome.LOST))
+            self._finish_attempt(attempt, AttemptResult(AttemptOutcome.LOST))
 
     # Actions
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
-            handler = self._carry_out_table.get(type(action))
+            handler = self._handlers.get(type(action))
             if handler is None:
                 raise UnknownActionError(type(action))
             handler(action)
 
     def _send(self, send: Send) -> None:
-        live = self._find(send.attempt.request_id, "Send")
+        live = self._require_live(send.attempt.request_id, "Send")
         sidecar = self._fleet[send.endpoint]
         size = live.output_bytes or live.arrival.input_bytes
-        live.flights[send.attempt] = _Flight(send.endpoint, size)
-        self._count(send)
-        if not self._network.reaches(self._region, sidecar.plan):
-            lost = partial(self._ended, send.attempt, self._lost())
-            self._clock.after(self._network.notice_s, lost)
+        live.attempts[send.attempt] = _LiveAttempt(send.endpoint, size)
+        self._count_send(send)
+        if not self._network.is_reachable(self._region, sidecar.plan):
+            lost = partial(
+                self._finish_attempt, send.attempt, self._unreachable_result()
+            )
+            self._clock.after(self._network.detection_delay_s, lost)
             return
         self._count_bytes(send.attempt, sidecar, size)
         call = self._build_call(live, send, sidecar)
@@ -174,51 +176,53 @@
 
     def _cancel(self, cancel: Cancel) -> None:
         live = self._live.get(cancel.attempt.request_id)
-        if live is not None and live.flights.pop(cancel.attempt, None) is not None:
-            self._withdraw(cancel.attempt, cancel.endpoint)
+        if live is not None and live.attempts.pop(cancel.attempt, None) is not None:
+            self._cancel_attempt(cancel.attempt, cancel.endpoint)
 
-    def _ask(self, ask: QueryAttempt) -> None:
-        live = self._find(ask.attempt.request_id, "QueryAttempt")
-        live.flights[ask.attempt] = _Flight(ask.endpoint, 0)
+    def _query_attempt(self, ask: QueryAttempt) -> None:
+        live = self._require_live(ask.attempt.request_id, "QueryAttempt")
+        live.attempts[ask.attempt] = _LiveAttempt(ask.endpoint, 0)
         sidecar = self._fleet[ask.endpoint]
-        if not self._network.reaches(self._region, sidecar.plan):
+        if not self._network.is_reachable(self._region, sidecar.plan):
             unknown = partial(
-                self._ended, ask.attempt, AttemptResult(AttemptOutcome.UNKNOWN)
+                self._finish_attempt, ask.attempt, AttemptResult(AttemptOutcome.UNKNOWN)
             )
-            self._clock.after(self._network.notice_s, unknown)
+            self._clock.after(self._network.detection_delay_s, unknown)
             return
         reply = partial(self._reply_from, sidecar, ask.attempt)
         outcome = partial(
-            sidecar.outcome, ask.attempt.request_id, ask.attempt.stage, reply
+            sidecar.query_outcome, ask.attempt.request_id, ask.attempt.stage, reply
         )
         self._clock.after(self._delay(sidecar), outcome)
 
-    def _greet(self, greet: PollLoad) -> None:
+    def _poll_load(self, greet: PollLoad) -> None:
         sidecar = self._fleet[greet.endpoint]
-        if self._network.reaches(self._region, sidecar.plan):
-            self._clock.after(2 * self._delay(sidecar), partial(self._greeted, sidecar))
+        if self._network.is_reachable(self._region, sidecar.plan):
+            self._clock.after(
+                2 * self._delay(sidecar), partial(self._apply_load, sidecar)
+            )
 
-    def _greeted(self, sidecar: FakeSidecar) -> None:
+    def _apply_load(self, sidecar: FakeSidecar) -> None:
         now = self._clock.now
-        self._carry_out(self._planner.load_report(now, sidecar.plan.id, sidecar.load()))
+        self._execute(self._planner.load_report(now, sidecar.plan.id, sidecar.load()))
 
     def _answer(self, answer: Answer) -> None:
-        self._end(answer.request_id, "Answer")
-        self._ledger.end(answer.request_id, self._clock.now)
+        self._remove_request(answer.request_id, "Answer")
+        self._recorder.end(answer.request_id, self._clock.now)
 
     def _refuse(self, refusal: Refuse) -> None:
-        self._end(refusal.request_id, "Refuse")
-        self._ledger.end(
+        self._remove_request(refusal.request_id, "Refuse")
+        self._recorder.end(
             refusal.request_id, self._clock.now, refusal.outcome, refusal.reason
         )
 
-    def _end(self, request_id: str, action: str) -> None:
-        live = self._find(request_id, action)
+    def _remove_request(self, request_id: str, action: str) -> None:
+        live = self._require_live(request_id, action)
         del self._live[request_id]
-        for attempt, flight in live.flights.items():
-            self._withdraw(attempt, flight.endpoint)
+        for attempt, live_attempt in live.attempts.items():
+            self._cancel_attempt(attempt, live_attempt.endpoint)
 
-    def _find(self, request_id: str, action: str) -> _Live:
+    def _require_live(self, request_id: str, action: str) -> _LiveRequest:
         live = self._live.get(request_id)
         if live is None:
             raise DoubleEndError(request_id, action)
@@ -226,7 +230,7 @@
 
     # Attempts
 
-    def _build_call(self, live: _Live, send: Send, sidecar: FakeSidecar) -> Call:
+    def _build_call(self, live: _LiveRequest, send: Send, sidecar: FakeSidecar) -> Call:
         stage = live.arrival.pipeline.stages[send.attempt.stage]
         return Call(
             attempt=send.attempt,
@@ -243,49 +247,49 @@
     def _reply_from(
         self, sidecar: FakeSidecar, attempt: AttemptId, result: AttemptResult
     ) -> None:
-        if not self._network.reaches(self._region, sidecar.plan):
+        if not self._network.is_reachable(self._region, sidecar.plan):
             return
         load = sidecar.load()
         self._count_bytes(attempt, sidecar, result.output_bytes)
 
-        def take() -> None:
+        def deliver() -> None:
             now = self._clock.now
-            self._carry_out(self._planner.load_report(now, sidecar.plan.id, load))
-            self._ended(attempt, result)
+            self._execute(self._planner.load_report(now, sidecar.plan.id, load))
+            self._finish_attempt(attempt, result)
 
-        self._clock.after(self._delay(sidecar), take)
+        self._clock.after(self._delay(sidecar), deliver)
 
-    def _lost(self) -> AttemptResult:
-        if self._network.cut_unnoticed:
+    def _unreachable_result(self) -> AttemptResult:
+        if self._network.is_cut_undetected:
             return AttemptResult(AttemptOutcome.LOST)
         return AttemptResult(AttemptOutcome.NOT_RUN, unreachable=True)
 
     def _progress_from(
         self, sidecar: FakeSidecar, attempt: AttemptId, chunks: int
     ) -> None:
-        if not self._network.reaches(self._region, sidecar.plan):
+        if not self._network.is_reachable(self._region, sidecar.plan):
             return
 
-        def take() -> None:
+        def deliver() -> None:
             live = self._live.get(attempt.request_id)
-            if live is not None and attempt in live.flights:
+            if live is not None and attempt in live.attempts:
                 now = self._clock.now
-                self._carry_out(self._planner.progress(now, attempt, chunks))
+                self._execute(self._planner.progress(now, attempt, chunks))
 
-        self._clock.after(self._delay(sidecar), take)
+        self._clock.after(self._delay(sidecar), deliver)
 
-    def _ended(self, attempt: AttemptId, result: AttemptResult) -> None:
+    def _finish_attempt(self, attempt: AttemptId, result: AttemptResult) -> None:
         live = self._live.get(attempt.request_id)
-        if live is None or live.flights.pop(attempt, None) is None:
+        if live is None or live.attempts.pop(attempt, None) is None:
             return
         if result.outcome is AttemptOutcome.FINISHED:
             live.output_bytes = result.output_bytes
-            self._ledger.request(attempt.request_id).useful.add(attempt)
-        self._carry_out(self._planner.reply(self._clock.now, attempt, result))
+            self._recorder.request(attempt.request_id).useful.add(attempt)
+        self._execute(self._planner.reply(self._clock.now, attempt, result))
 
-    def _withdraw(self, attempt: AttemptId, endpoint: str) -> None:
+    def _cancel_attempt(self, attempt: AttemptId, endpoint: str) -> None:
         sidecar = self._fleet[endpoint]
-        if self._network.reaches(self._region, sidecar.plan):
+        if self._network.is_reachable(self._region, sidecar.plan):
             self._clock.after(self._delay(sidecar), partial(sidecar.cancel, attempt))
 
     def _delay(self, sidecar: FakeSidecar) -> float:
@@ -293,13 +297,13 @@
 
     # Counts
 
-    def _count(self, send: Send) -> None:
-        self._ledger.sends += 1
+    def _count_send(self, send: Send) -> None:
+        self._recorder.sends += 1
         if send.hedge:
-            self._ledger.hedges += 1
+            self._recorder.hedges += 1
         elif send.attempt.number > 1:
-            self._ledger.retries += 1
+            self._recorder.retries += 1
 
     def _count_bytes(self, attempt: AttemptId, sidecar: FakeSidecar, size: int) -> None:
         if sidecar.plan.region != self._region:
-            self._ledger.note_bytes(attempt.request_id, sidecar.pool.name, size)
+            self._recorder.note_bytes(attempt.request_id, sidecar.pool.name, size)
--- a/packages/operator/src/amaranthtally/operator/replay/faults.py
+++ b/packages/operator/src/amaranthtally/operator/replay/faults.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from amaranthtally.operator.replay.entry import EntryReplay
-from amaranthtally.operator.replay.network import NOTICE_S, Network
+from amaranthtally.operator.replay.entry import FakeEntry
+from amaranthtally.operator.replay.network import CUT_DETECTION_S, Network
 from amaranthtally.operator.replay.sidecar import FakeSidecar
 from amaranthtally.operator.replay.trace import Fault, FaultKind
 
@@ -18,9 +18,9 @@
 
     network: Network
     fleet: Mapping[str, FakeSidecar]
-    entries: Sequence[EntryReplay]
+    entries: Sequence[FakeEntry]
 
-    def struck(self, fault: Fault) -> Iterable[FakeSidecar]:
+    def affected_sidecars(self, fault: Fault) -> Iterable[FakeSidecar]:
         """Return the sidecars of the endpoints that a fault names."""
         return [self.fleet[name] for name in fault.endpoints]
 
@@ -48,7 +48,7 @@
 @_injector(FaultKind.SLOW)
 def _slow(targets: Targets, fault: Fault) -> None:
     clock = targets.network.clock
-    for sidecar in targets.struck(fault):
+    for sidecar in targets.affected_sidecars(fault):
         slow_down = sidecar.endpoint.slow_down
         clock.at(fault.start_s, partial(slow_down, fault.factor))
         clock.at(fault.end_s, partial(slow_down, 1.0))
@@ -57,7 +57,7 @@
 @_injector(FaultKind.FAILING)
 def _failing(targets: Targets, fault: Fault) -> None:
     clock = targets.network.clock
-    for sidecar in targets.struck(fault):
+    for sidecar in targets.affected_sidecars(fault):
         clock.at(fault.start_s, partial(sidecar.endpoint.fail, True))
         clock.at(fault.end_s, partial(sidecar.endpoint.fail, False))
 
@@ -68,8 +68,8 @@
     clock.at(fault.start_s, partial(targets.network.cut, fault.region))
     clock.at(fault.end_s, partial(targets.network.cut, ""))
     for entry in targets.entries:
-        lose = partial(entry.lose_region, fault.region)
-        clock.at(fault.start_s + NOTICE_S, lose)
+        lose = partial(entry.lose_attempts_across, fault.region)
+        clock.at(fault.start_s + CUT_DETECTION_S, lose)
 
 
 @_injector(FaultKind.LATE_LOAD)
--- a/packages/operator/src/amaranthtally/operator/replay/measures.py
+++ b/packages/operator/src/amaranthtally/operator/replay/measures.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from amaranthtally.operator.quantiles import quantile
-from amaranthtally.operator.replay.ledger import Ledger, RequestRecord
+from amaranthtally.operator.replay.recorder import ReplayRecorder, RequestRecord
 from amaranthtally.operator.replay.trace import FaultKind, Header
 
 __all__ = ["Figures", "jain_index", "max_min_shares", "measure"]
 
-PERCENT_99 = 0.99
+P99 = 0.99
 # A burst shows in the answers only once its first requests can be through.
 BURST_LAG_S = 1.5
 
@@ -52,15 +52,17 @@
     false_not_run: int
 
 
-def measure(name: str, header: Header, ledger: Ledger, scarcest: str) -> Figures:
-    """Return the figures of a finished replay; ``scarcest`` names a pool."""
-    requests = ledger.requests
+def measure(
+    name: str, header: Header, recorder: ReplayRecorder, bottleneck: str
+) -> Figures:
+    """Return the figures of a finished replay; ``bottleneck`` names a pool."""
+    requests = recorder.requests
     good = [r for r in requests if r.good]
     admitted = [r for r in requests if r.admitted]
     latencies = [(r.ended_at or 0.0) - r.arrival.at for r in good]
     cost = _cost_by_pool(requests, header)
     region_bytes = _sum_bytes(requests)
-    spent_s, wasted_s = _work(requests)
+    spent_s, wasted_s = _slot_seconds(requests)
     return Figures(
         contender=name,
         requests=len(requests),
@@ -69,36 +71,36 @@
         attainment=_share(len(good), len(requests)),
         admitted_attainment=_share(sum(r.good for r in admitted), len(admitted)),
         goodput=_round(len(good) / header.duration_s),
-        burst_goodput=_burst_goodput(good, header, scarcest),
+        burst_goodput=_burst_goodput(good, header, bottleneck),
         latency_p50_s=_round(quantile(latencies, 0.5)),
-        latency_p99_s=_round(quantile(latencies, PERCENT_99)),
+        latency_p99_s=_round(quantile(latencies, P99)),
         cost_by_stage={pool: _round(value) for pool, value in sorted(cost.items())},
         cost_per_answer=_round(sum(cost.values()) / max(1, len(good))),
         region_bytes=sum(region_bytes.values()),
         region_bytes_by_stage=dict(sorted(region_bytes.items())),
-        sends=ledger.sends,
-        retries=ledger.retries,
-        hedges=ledger.hedges,
+        sends=recorder.sends,
+        retries=recorder.retries,
+        hedges=recorder.hedges,
         wasted_s=_round(wasted_s),
         wasted_share=_round(wasted_s / spent_s if spent_s else 0.0),
         fairness=_fairness(requests),
         refusals=_refusals(requests),
         unended=sum(r.ended_at is None for r in requests),
-        doubled_effects=ledger.doubled_effects,
-        false_not_run=ledger.false_not_run,
+        doubled_effects=recorder.doubled_effects,
+        false_not_run=recorder.false_not_run,
     )
 
 
 def max_min_shares(demands: list[int], total: float) -> list[float]:
     """Return how ``total`` is shared max-min fairly among demands."""
     shares = [0.0] * len(demands)
-    open_ = sorted(range(len(demands)), key=lambda i: demands[i])
-    left = total
-    while open_:
-        equal = left / len(open_)
-        smallest = open_.pop(0)
+    remaining = sorted(range(len(demands)), key=lambda i: demands[i])
+    unshared = total
+    while remaining:
+        equal = unshared / len(remaining)
+        smallest = remaining.pop(0)
         shares[smallest] = min(float(demands[smallest]), equal)
-        left -= shares[smallest]
+        unshared -= shares[smallest]
     return shares
 
 
@@ -110,10 +112,10 @@
 
 def _fairness(requests: list[RequestRecord]) -> float:
     """Jain's index over answers by the max-min fair share of all answers."""
-    asked = Counter(r.arrival.account for r in requests)
+    submitted = Counter(r.arrival.account for r in requests)
     good = Counter(r.arrival.account for r in requests if r.good)
-    accounts = sorted(asked)
-    shares = max_min_shares([asked[a] for a in accounts], sum(good.values()))
+    accounts = sorted(submitted)
+    shares = max_min_shares([submitted[a] for a in accounts], sum(good.values()))
     return _round(
         jain_index([good[a] / s for a, s in zip(accounts, shares, strict=True) if s])
     )
@@ -138,7 +140,7 @@
     return dict(total)
 
 
-def _work(requests: Iterable[RequestRecord]) -> tuple[float, float]:
+def _slot_seconds(requests: Iterable[RequestRecord]) -> tuple[float, float]:
     spent_s = wasted_s = 0.0
     for record in requests:
         for attempt, cost in record.costs.items():
@@ -148,7 +150,7 @@
     return spent_s, wasted_s
 
 
-def _burst_goodput(good: list[RequestRecord], header: Header, scarcest: str) -> float:
+def _burst_goodput(good: list[RequestRecord], header: Header, bottleneck: str) -> float:
     kinds = (FaultKind.BURST, FaultKind.FLOOD)
     burst = next((f for f in header.faults if f.kind in kinds), None)
     if burst is None:
@@ -157,7 +159,7 @@
     users = {
         plan.name
         for plan in header.pipelines
-        if any(stage.pool == scarcest for stage in plan.stages)
+        if any(stage.pool == bottleneck for stage in plan.stages)
     }
     inside = sum(
         r.arrival.pipeline in users and start <= (r.ended_at or 0.0) < end for r in good
@@ -166,12 +168,12 @@
 
 
 def _refusals(requests: Iterable[RequestRecord]) -> dict[str, int]:
-    found = Counter(
+    counts = Counter(
         f"{r.reason.value}/{r.outcome.value}"
         for r in requests
         if r.reason and r.outcome
     )
-    return dict(sorted(found.items()))
+    return dict(sorted(counts.items()))
 
 
 def _share(part: int, whole: int) -> float:
--- a/packages/operator/src/amaranthtally/operator/replay/network.py
+++ b/packages/operator/src/amaranthtally/operator/replay/network.py
@@ -5,24 +5,27 @@
 
 __all__ = ["Network"]
 
-NOTICE_S = 1.0
+CUT_DETECTION_S = 1.0
 
 
 class Network:
     """
     Says how long a message takes and whether it gets through.
 
-    An entry notices a cut after ``NOTICE_S`` seconds, by a missing heartbeat on
+    An entry notices a cut after ``CUT_DETECTION_S`` seconds, by a missing heartbeat on
     connections that stand and by the time-out of a new one. Each region has one
     entry, in its first data centre.
     """
 
     def __init__(
-        self, clock: VirtualClock, latency: LatencyPlan, entry_places: dict[str, str]
+        self,
+        clock: VirtualClock,
+        latency: LatencyPlan,
+        entry_data_centres: dict[str, str],
     ) -> None:
         self._clock = clock
         self._latency = latency
-        self._entry_places = entry_places
+        self._entry_data_centres = entry_data_centres
         self._cut_region = ""
         self._cut_at = 0.0
 
@@ -32,23 +35,23 @@
         return self._clock
 
     @property
-    def cut_unnoticed(self) -> bool:
+    def is_cut_undetected(self) -> bool:
         """Whether a cut is so new that connections across it seem to stand."""
-        return self._clock.now < self._cut_at + NOTICE_S
+        return self._clock.now < self._cut_at + CUT_DETECTION_S
 
     @property
-    def notice_s(self) -> float:
+    def detection_delay_s(self) -> float:
         """Seconds until a message sent now across the cut is known to be lost."""
-        if self.cut_unnoticed:
-            return self._cut_at + NOTICE_S - self._clock.now
-        return NOTICE_S
+        if self.is_cut_undetected:
+            return self._cut_at + CUT_DETECTION_S - self._clock.now
+        return CUT_DETECTION_S
 
     def cut(self, region: str) -> None:
         """Cut a region off from the others, or none when the name is empty."""
         self._cut_region = region
         self._cut_at = self._clock.now
 
-    def reaches(self, entry_region: str, endpoint: EndpointPlan) -> bool:
+    def is_reachable(self, entry_region: str, endpoint: EndpointPlan) -> bool:
         """Whether a message gets through now."""
         if not self._cut_region:
             return True
@@ -61,6 +64,6 @@
         """One-way latency in seconds."""
         if endpoint.region != entry_region:
             return self._latency.regions_s
-        if endpoint.data_centre != self._entry_places[entry_region]:
+        if endpoint.data_centre != self._entry_data_centres[entry_region]:
             return self._latency.data_centres_s
         return self._latency.same_data_centre_s
--- a/packages/operator/src/amaranthtally/operator/replay/outcomes.py
+++ b/packages/operator/src/amaranthtally/operator/replay/outcomes.py
@@ -10,7 +10,7 @@
 from amaranthtally.operator.replay.errors import OutcomesError
 from amaranthtally.operator.replay.report import TraceReport
 
-__all__ = ["Miss", "Outcomes", "check", "read_outcomes"]
+__all__ = ["MissedOutcome", "Outcomes", "check", "read_outcomes"]
 
 
 class Limit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -35,7 +35,7 @@
         return self.all | self.scenario.get(scenario, {})
 
 
-class Miss(msgspec.Struct, frozen=True):
+class MissedOutcome(msgspec.Struct, frozen=True):
     """An outcome that was not reached."""
 
     trace: str
@@ -55,15 +55,15 @@
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise OutcomesError(path, str(error)) from error
     named = {name for limits in outcomes.scenario.values() for name in limits}
-    unknown = (named | set(outcomes.all)) - set(TraceReport.stated_names())
+    unknown = (named | set(outcomes.all)) - set(TraceReport.outcome_figure_names())
     if unknown:
         raise OutcomesError(path, f"unknown figures {', '.join(sorted(unknown))}")
     return outcomes
 
 
-def check(outcomes: Outcomes, report: TraceReport) -> list[Miss]:
+def check(outcomes: Outcomes, report: TraceReport) -> list[MissedOutcome]:
     """Return the outcomes that a trace's report misses."""
-    stated = report.stated()
+    stated = report.outcome_figures()
     misses = []
     for name, limit in sorted(outcomes.limits(report.scenario).items()):
         value = stated[name]
@@ -72,7 +72,9 @@
             (limit.max, operator.gt, "<="),
         ):
             if wanted is not None and _is_beyond(value, wanted, beyond):
-                misses.append(Miss(report.trace, name, value, f"{sign} {wanted}"))
+                misses.append(
+                    MissedOutcome(report.trace, name, value, f"{sign} {wanted}")
+                )
     return misses
 
 
--- a/packages/operator/src/amaranthtally/operator/replay/plot.py
+++ b/packages/operator/src/amaranthtally/operator/replay/plot.py
@@ -53,9 +53,9 @@
     width = GROUP_WIDTH / len(contenders)
     for i, figures in enumerate(contenders):
         shift = (i - (len(contenders) - 1) / 2) * width
-        places = [at + shift for at in range(len(reports))]
+        positions = [at + shift for at in range(len(reports))]
         heights = [row[i] for row in values]
-        axes.bar(places, heights, width, label=figures.contender)
+        axes.bar(positions, heights, width, label=figures.contender)
     axes.grid(axis="y", alpha=0.3)
 
 
--- a/packages/operator/src/amaranthtally/operator/replay/profiles.py
+++ b/packages/operator/src/amaranthtally/operator/replay/profiles.py
@@ -15,7 +15,7 @@
 __all__ = [
     "latency_plan",
     "pipeline_plans",
-    "place_endpoints",
+    "endpoint_plans",
     "pool_plans",
 ]
 
@@ -85,16 +85,18 @@
     ]
 
 
-def place_endpoints(table: dict[str, Any]) -> list[EndpointPlan]:
+def endpoint_plans(table: dict[str, Any]) -> list[EndpointPlan]:
     """Return the endpoints, each pool's spread over the data centres in turn."""
-    places = [
+    data_centres = [
         (region["name"], centre)
         for region in table["regions"]
         for centre in region["data_centres"]
     ]
     # One data centre of each region first, so that three servers reach them all.
     firsts = [(r["name"], r["data_centres"][0]) for r in table["regions"]]
-    ordered = firsts + [place for place in places if place not in firsts]
+    ordered = firsts + [
+        data_centre for data_centre in data_centres if data_centre not in firsts
+    ]
     return [
         EndpointPlan(f"{pool['name']}-{i}", pool["name"], *ordered[i % len(ordered)])
         for pool in table["pools"]
--- a/packages/operator/src/amaranthtally/operator/replay/ledger.py
+++ b/packages/operator/src/amaranthtally/operator/replay/recorder.py
@@ -6,7 +6,7 @@
 from amaranthtally.operator.replay.trace import PoolPlan, TraceArrival
 from amaranthtally.policy import AttemptId, RefusalReason, RequestOutcome
 
-__all__ = ["AttemptCost", "Ledger", "RequestRecord"]
+__all__ = ["AttemptCost", "ReplayRecorder", "RequestRecord"]
 
 
 @dataclass(slots=True)
@@ -40,7 +40,7 @@
         return self.answered and (self.ended_at or 0.0) <= self.deadline
 
 
-class Ledger:
+class ReplayRecorder:
     """Records of every request, and counts of what the planner did."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         """Calls that may not be repeated and started more than once."""
         return sum(1 for count in self._effects.values() if count > 1)
 
-    def open(self, arrival: TraceArrival, deadline: float) -> None:
+    def start_request(self, arrival: TraceArrival, deadline: float) -> None:
         """Note an arrival."""
         self._requests[arrival.id] = RequestRecord(arrival, deadline)
 
--- a/packages/operator/src/amaranthtally/operator/replay/report.py
+++ b/packages/operator/src/amaranthtally/operator/replay/report.py
@@ -25,7 +25,7 @@
     contenders: list[Figures]
 
     @staticmethod
-    def stated_names() -> list[str]:
+    def outcome_figure_names() -> list[str]:
         """Return the names of figures that outcomes can state."""
         return sorted(
             {
@@ -44,7 +44,7 @@
         """Return a contender's figures."""
         return next((f for f in self.contenders if f.contender == contender), None)
 
-    def stated(self) -> dict[str, float]:
+    def outcome_figures(self) -> dict[str, float]:
         """
         Return the policy's figures and its ratios to the bound and baselines.
 
--- a/packages/operator/src/amaranthtally/operator/replay/scenarios.py
+++ b/packages/operator/src/amaranthtally/operator/replay/scenarios.py
@@ -9,9 +9,9 @@
 
 from amaranthtally.operator.replay.errors import TraceError
 from amaranthtally.operator.replay.profiles import (
+    endpoint_plans,
     latency_plan,
     pipeline_plans,
-    place_endpoints,
     pool_plans,
 )
 from amaranthtally.operator.replay.trace import (
@@ -53,9 +53,9 @@
     @property
     def engines(self) -> list[str]:
         """Endpoints that are model engines, in order."""
-        return self.of_kind("engine")
+        return self.endpoints_of_kind("engine")
 
-    def of_kind(self, kind: str) -> list[str]:
+    def endpoints_of_kind(self, kind: str) -> list[str]:
         """Endpoints of a kind, in order."""
         pools = {p["name"] for p in self.table["pools"] if p["kind"] == kind}
         return [e.id for e in self.endpoints if e.pool in pools]
@@ -76,7 +76,7 @@
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise TraceError(path, str(error)) from error
-    endpoints = place_endpoints(table)
+    endpoints = endpoint_plans(table)
     deployment = _Deployment(table["name"], table, endpoints)
     faults = _SCENARIOS[scenario](deployment)
     header = Header(
@@ -119,13 +119,13 @@
 
 @_scenario("straggler")
 def _straggler(deployment: _Deployment) -> list[Fault]:
-    struck = [*deployment.engines[:2], *deployment.of_kind("reranker")[:1]]
+    affected = [*deployment.engines[:2], *deployment.endpoints_of_kind("reranker")[:1]]
     return [
         Fault(
             FaultKind.SLOW,
             FAULT_START_S,
             FAULT_END_S,
-            endpoints=struck,
+            endpoints=affected,
             factor=SLOW_FACTOR,
         )
     ]
@@ -134,8 +134,8 @@
 @_scenario("failing")
 def _failing(deployment: _Deployment) -> list[Fault]:
     engines = deployment.engines
-    struck = engines[: round(len(engines) / 3)]
-    return [Fault(FaultKind.FAILING, FAULT_START_S, FAULT_END_S, endpoints=struck)]
+    affected = engines[: round(len(engines) / 3)]
+    return [Fault(FaultKind.FAILING, FAULT_START_S, FAULT_END_S, endpoints=affected)]
 
 
 @_scenario("region-cut")
--- a/packages/operator/src/amaranthtally/operator/replay/sidecar.py
+++ b/packages/operator/src/amaranthtally/operator/replay/sidecar.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from amaranthtally.operator.replay.endpoints import FakeEndpoint, Run
-from amaranthtally.operator.replay.ledger import Ledger
+from amaranthtally.operator.replay.recorder import ReplayRecorder
 from amaranthtally.operator.replay.trace import EndpointPlan, PoolPlan
 from amaranthtally.operator.replay.work import WorkModel
 from amaranthtally.policy import (
@@ -89,9 +89,9 @@
 
 
 @dataclass(slots=True)
-class _Record:
+class _CallRecord:
     result: AttemptResult | None = None
-    waiting: list[Reply] = field(default_factory=list)
+    pending_replies: list[Reply] = field(default_factory=list)
 
 
 class FakeSidecar:
@@ -105,7 +105,7 @@
         queue: Queue,
         endpoint: FakeEndpoint,
         work: WorkModel,
-        ledger: Ledger,
+        recorder: ReplayRecorder,
     ) -> None:
         self._clock = clock
         self._plan = plan
@@ -113,11 +113,11 @@
         self._queue = queue
         self._endpoint = endpoint
         self._work = work
-        self._ledger = ledger
+        self._recorder = recorder
         self._serial = 0
-        self._waiting: dict[int, Call] = {}
+        self._queued_calls: dict[int, Call] = {}
         self._calls: dict[AttemptId, Call] = {}
-        self._records: dict[tuple[str, int], _Record] = {}
+        self._records: dict[tuple[str, int], _CallRecord] = {}
         self._tombstones: set[AttemptId] = set()
         self._leaving = False
         self._load_lag_s = 0.0
@@ -147,8 +147,8 @@
 
     def load(self) -> LoadReport:
         """Return the load that a reply carries now."""
-        seen = self._clock.now - self._load_lag_s
-        while len(self._loads) > 1 and self._loads[1][0] <= seen:
+        reported_at = self._clock.now - self._load_lag_s
+        while len(self._loads) > 1 and self._loads[1][0] <= reported_at:
             self._loads.popleft()
         return self._loads[0][1]
 
@@ -166,7 +166,7 @@
         if not self._queue.offer(now, call.queued):
             self._reply_not_run(call)
             return
-        self._waiting[self._serial] = call
+        self._queued_calls[self._serial] = call
         self._calls[call.attempt] = call
         self._start_next()
         self._note_load()
@@ -180,7 +180,7 @@
         if call.run is None and call.queued is not None:
             self._tombstones.add(attempt)
             self._queue.withdraw(call.queued)
-            del self._waiting[call.queued.serial]
+            del self._queued_calls[call.queued.serial]
             self._reply_not_run(call)
         elif call.run is not None and call.repeatable:
             self._endpoint.cancel(call.run)
@@ -189,7 +189,7 @@
             self._start_next()
         self._note_load()
 
-    def outcome(self, request_id: str, stage: int, reply: Reply) -> None:
+    def query_outcome(self, request_id: str, stage: int, reply: Reply) -> None:
         """Say what became of a call that may not be repeated, once it has ended."""
         record = self._records.get((request_id, stage))
         if record is None:
@@ -197,39 +197,39 @@
         elif record.result is not None:
             reply(record.result)
         else:
-            record.waiting.append(reply)
+            record.pending_replies.append(reply)
 
     # Calls
 
     def _open_record(self, call: Call) -> bool:
         key = (call.attempt.request_id, call.attempt.stage)
         if key in self._records:
-            self.outcome(*key, call.reply)
+            self.query_outcome(*key, call.reply)
             return False
-        record = self._records[key] = _Record(waiting=[call.reply])
+        record = self._records[key] = _CallRecord(pending_replies=[call.reply])
         call.reply = partial(self._close_record, key, record)
         return True
 
     def _close_record(
-        self, key: tuple[str, int], record: _Record, result: AttemptResult
+        self, key: tuple[str, int], record: _CallRecord, result: AttemptResult
     ) -> None:
         record.result = result
         if result.outcome is AttemptOutcome.NOT_RUN:
             del self._records[key]
-        for reply in record.waiting:
+        for reply in record.pending_replies:
             reply(result)
 
     def _start_next(self) -> None:
         for dropped in self._queue.dropped(self._clock.now):
-            self._reply_not_run(self._waiting.pop(dropped.serial))
+            self._reply_not_run(self._queued_calls.pop(dropped.serial))
         while (queued := self._queue.next_call(self._clock.now)) is not None:
-            self._start(self._waiting.pop(queued.serial))
+            self._start(self._queued_calls.pop(queued.serial))
 
     def _start(self, call: Call) -> None:
         attempt = call.attempt
-        work = self._work.of(attempt.request_id, attempt.stage, self._pool)
-        straggles = self._work.straggles(attempt, self._pool)
-        factor = self._pool.straggle_factor if straggles else 1.0
+        work = self._work.stage_work(attempt.request_id, attempt.stage, self._pool)
+        is_straggler = self._work.is_straggler(attempt, self._pool)
+        factor = self._pool.straggle_factor if is_straggler else 1.0
         call.started = self._clock.now
         call.run = Run(
             seconds=work.seconds * factor,
@@ -239,7 +239,7 @@
             done=partial(self._done, call),
             progress=call.progress,
         )
-        self._ledger.note_start(attempt, call.repeatable)
+        self._recorder.note_start(attempt, call.repeatable)
         self._endpoint.start(call.run)
 
     def _done(self, call: Call, finished: bool) -> None:
@@ -259,7 +259,7 @@
     def _note_end(self, call: Call) -> float:
         run_s = self._clock.now - call.started
         self._calls.pop(call.attempt, None)
-        self._ledger.note_run(call.attempt, self._pool, run_s)
+        self._recorder.note_run(call.attempt, self._pool, run_s)
         return run_s
 
     def _reply_not_run(self, call: Call) -> None:
--- a/packages/operator/src/amaranthtally/operator/replay/simulation.py
+++ b/packages/operator/src/amaranthtally/operator/replay/simulation.py
@@ -7,10 +7,10 @@
 
 from amaranthtally.operator.replay.baselines import Contender
 from amaranthtally.operator.replay.endpoints import build_endpoint
-from amaranthtally.operator.replay.entry import EntryReplay
+from amaranthtally.operator.replay.entry import FakeEntry
 from amaranthtally.operator.replay.faults import Targets, schedule_faults
-from amaranthtally.operator.replay.ledger import Ledger
 from amaranthtally.operator.replay.network import Network
+from amaranthtally.operator.replay.recorder import ReplayRecorder
 from amaranthtally.operator.replay.sidecar import FakeSidecar
 from amaranthtally.operator.replay.trace import Header, PipelinePlan, Trace
 from amaranthtally.operator.replay.work import WorkModel
@@ -30,33 +30,33 @@
 BYTES_PER_GB = 1e9
 
 
-def replay(trace: Trace, contender: Contender) -> Ledger:
+def replay(trace: Trace, contender: Contender) -> ReplayRecorder:
     """Run a trace; raises ``UnknownActionError`` and ``DoubleEndError``."""
     header = trace.header
     clock = VirtualClock()
-    ledger = Ledger()
+    recorder = ReplayRecorder()
     network = Network(clock, header.latency, header.regions)
-    fleet = _build_fleet(header, contender, clock, ledger)
+    fleet = _build_fleet(header, contender, clock, recorder)
     entries = {
-        region: EntryReplay(
+        region: FakeEntry(
             region,
             contender.build_planner(
                 _settings(header, region), Random(f"{header.seed}/entry/{region}")
             ),
             network,
             fleet,
-            ledger,
+            recorder,
         )
         for region in header.regions
     }
     prices = {pool.name: pool.price for pool in header.pools}
     pipelines = {plan.name: build_pipeline(plan, prices) for plan in header.pipelines}
     for entry in entries.values():
-        entry.greet()
+        entry.load_initial_reports()
         clock.at(0.0, entry.tick)
     for sidecar in fleet.values():
         sidecar.endpoint.on_cache_event(
-            partial(_tell_entries, list(entries.values()), sidecar)
+            partial(_deliver_cache_event, list(entries.values()), sidecar)
         )
     targets = Targets(network, fleet, list(entries.values()))
     schedule_faults(targets, header.faults)
@@ -67,7 +67,7 @@
         clock.at(arrival.at, arrive)
     longest_s = max(plan.deadline_s for plan in header.pipelines)
     clock.run(header.duration_s + longest_s + DRAIN_S)
-    return ledger
+    return recorder
 
 
 def build_pipeline(plan: PipelinePlan, prices: Mapping[str, float]) -> Pipeline:
@@ -79,15 +79,15 @@
     return Pipeline(plan.name, stages, plan.deadline_s, plan.weight_attainment)
 
 
-def _tell_entries(
-    entries: Sequence[EntryReplay], sidecar: FakeSidecar, event: CacheEvent
+def _deliver_cache_event(
+    entries: Sequence[FakeEntry], sidecar: FakeSidecar, event: CacheEvent
 ) -> None:
     for entry in entries:
-        entry.hear_cache(sidecar, event)
+        entry.deliver_cache_event(sidecar, event)
 
 
 def _build_fleet(
-    header: Header, contender: Contender, clock: VirtualClock, ledger: Ledger
+    header: Header, contender: Contender, clock: VirtualClock, recorder: ReplayRecorder
 ) -> dict[str, FakeSidecar]:
     pools = {pool.name: pool for pool in header.pools}
     work = WorkModel(header.seed)
@@ -99,7 +99,7 @@
             contender.build_queue(pools[plan.pool]),
             build_endpoint(clock, pools[plan.pool]),
             work,
-            ledger,
+            recorder,
         )
         for plan in header.endpoints
     }
--- a/packages/operator/src/amaranthtally/operator/replay/tables.py
+++ b/packages/operator/src/amaranthtally/operator/replay/tables.py
@@ -70,17 +70,17 @@
 def _summary_row(report: TraceReport) -> list[str]:
     policy = report.figures(POLICY)
     assert policy is not None
-    stated = report.stated()
+    figures = report.outcome_figures()
     baselines = [f for f in report.contenders if f is not policy]
     best = max((f.attainment for f in baselines), default=None)
-    ratio = stated["cost_of_equal_baseline"]
+    ratio = figures["cost_of_equal_baseline"]
     return [
         report.trace,
         f"{report.bound_attainment:.4f}",
         f"{policy.attainment:.4f}",
         NONE if best is None else f"{best:.4f}",
         f"{policy.admitted_attainment:.4f}",
-        _or_none(stated["burst_goodput_of_capacity"]),
+        _or_none(figures["burst_goodput_of_capacity"]),
         f"{policy.cost_per_answer:.3f}",
         _or_none(policy.cost_per_answer / ratio if ratio else 0.0),
         f"{policy.region_bytes / MEGABYTE:.1f}",
--- a/packages/operator/src/amaranthtally/operator/replay/work.py
+++ b/packages/operator/src/amaranthtally/operator/replay/work.py
@@ -28,18 +28,18 @@
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
-        self._known: dict[tuple[str, int], StageWork] = {}
+        self._work_by_stage: dict[tuple[str, int], StageWork] = {}
 
-    def of(self, request_id: str, stage: int, pool: PoolPlan) -> StageWork:
+    def stage_work(self, request_id: str, stage: int, pool: PoolPlan) -> StageWork:
         """Return the work of a stage, without any straggling."""
         key = (request_id, stage)
-        found = self._known.get(key)
-        if found is None:
-            found = self._draw(request_id, stage, pool)
-            self._known[key] = found
-        return found
+        work = self._work_by_stage.get(key)
+        if work is None:
+            work = self._draw(request_id, stage, pool)
+            self._work_by_stage[key] = work
+        return work
 
-    def straggles(self, attempt: AttemptId, pool: PoolPlan) -> bool:
+    def is_straggler(self, attempt: AttemptId, pool: PoolPlan) -> bool:
         """Whether this attempt is one of the pool's rare slow ones."""
         if not pool.straggle_rate:
             return False
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -12,7 +12,7 @@
 from amaranthtally.operator.experiment.plan import Plan
 from amaranthtally.operator.experiment.results import Result, summarize
 from amaranthtally.operator.experiment.trials import Observation
-from amaranthtally.operator.experiment.variants import named_variant
+from amaranthtally.operator.experiment.variants import get_variant
 from amaranthtally.operator.replay.measures import measure
 from amaranthtally.operator.replay.scenarios import make_trace
 from amaranthtally.operator.replay.simulation import replay
@@ -29,8 +29,8 @@
     found = estimate([1.0, 2.0, 3.0, 4.0, 5.0])
     assert found.mean == 3.0
     assert found.half == pytest.approx(1.9633, abs=1e-4)
-    assert found.is_clear
-    assert not estimate([-1.0, 1.0]).is_clear
+    assert found.excludes_zero
+    assert not estimate([-1.0, 1.0]).excludes_zero
     assert estimate([float(i % 2) for i in range(60)]).half > 0.0
 
 
@@ -73,10 +73,10 @@
 
 
 def figures(trace, name):
-    variant = named_variant(name)
+    variant = get_variant(name)
     adapted = Trace(variant.adapt(trace.header), trace.arrivals)
-    ledger = replay(adapted, variant.contender)
-    return measure("", trace.header, ledger, "assessment")
+    recorder = replay(adapted, variant.contender)
+    return measure("", trace.header, recorder, "assessment")
 
 
 def test_every_ablation_changes_what_is_decided():
--- a/tests/experiment/test_plans.py
+++ b/tests/experiment/test_plans.py
@@ -54,7 +54,7 @@
     path = write(tmp_path, GOOD)
     plan = read_plan(path)
     assert len(plan.scenarios) == 8
-    assert plan.subjects[:2] == ["policy", "equal shares"]
+    assert plan.compared_variants[:2] == ["policy", "equal shares"]
 
     part = narrow_plan(path, plan, ["agrosalv"], ["burst"])
     assert part.scenarios == ["burst"]
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from amaranthtally.operator.replay.bound import Job, most_on_time
+from amaranthtally.operator.replay.bound import Job, max_on_time_jobs
 from amaranthtally.operator.replay.endpoints import Run, build_endpoint
 from amaranthtally.operator.replay.measures import jain_index, max_min_shares
 from amaranthtally.operator.replay.scenarios import make_trace
@@ -69,7 +69,7 @@
     for gap, work in gaps_and_work:
         release += gap
         jobs.append(Job(release, release + relative_due, work))
-    assert most_on_time(jobs) == best_by_trying_all(jobs)
+    assert max_on_time_jobs(jobs) == best_by_trying_all(jobs)
 
 
 def best_by_trying_all(jobs):
