--- a/packages/operator/src/amaranthtally/operator/replay/__init__.py
+++ b/packages/operator/src/amaranthtally/operator/replay/__init__.py
@@ -1,4 +1,4 @@
-"""Replays recorded arrivals through the policy on a virtual clock."""
+"""Trace replay: runs recorded arrivals through the policy on a virtual clock."""
 
 from amaranthtally.operator.replay.command import register, report_trace
 
--- a/packages/operator/src/amaranthtally/operator/replay/baselines.py
+++ b/packages/operator/src/amaranthtally/operator/replay/baselines.py
@@ -1,8 +1,9 @@
 """
-Simple planners to compare the policy with, in a registry that decorators fill.
+Baseline planners to compare the policy with, registered by a decorator.
 
-They use the same entries, sidecars and network. Their sidecars queue first in,
-first out. None of them knows of accounts, prefixes, load reports or prices.
+The baselines use the same entries, sidecars and network as the policy. Their
+sidecars queue calls first in, first out. No baseline considers accounts, prefixes,
+load reports or prices.
 """
 
 from collections.abc import Callable, Sequence
@@ -35,7 +36,7 @@
 __all__ = ["POLICY", "Contender", "get_contender", "contender_names"]
 
 POLICY = "policy"
-UNBOUNDED = 1_000_000
+UNBOUNDED_CAPACITY = 1_000_000
 
 BuildPlanner = Callable[[PolicySettings, Random], EntryPlanner]
 BuildQueue = Callable[[PoolPlan], Queue]
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contender:
-    """What runs on a trace: a planner for entries and a queue for sidecars."""
+    """What is replayed on a trace: an entry's planner and a sidecar's queue."""
 
     name: str
     build_planner: BuildPlanner
@@ -54,12 +55,12 @@
 
 
 def contender_names() -> list[str]:
-    """Return the names of all contenders, the policy first."""
+    """Return the names of all contenders; the policy comes first."""
     return list(_CONTENDERS)
 
 
 def get_contender(name: str) -> Contender:
-    """Return a contender; raises ``KeyError``."""
+    """Return the contender of a name; raises ``KeyError`` if there is none."""
     return _CONTENDERS[name]
 
 
@@ -81,7 +82,7 @@
 
 
 def _unbounded(pool: PoolPlan) -> Queue:
-    return FirstInFirstOut(pool.slots, UNBOUNDED)
+    return FirstInFirstOut(pool.slots, UNBOUNDED_CAPACITY)
 
 
 def _run_queue(pool: PoolPlan) -> Queue:
@@ -104,35 +105,40 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """How often a stage is sent again, and whether only where it was not run."""
+    """
+    When the call of a stage is retried.
+
+    ``limit`` is the maximum number of retries. With ``only_not_run``, a call is
+    retried only if the sidecar reports that it did not run.
+    """
 
     limit: int
     only_not_run: bool
 
 
 @dataclass(slots=True)
-class Chooser:
-    """Chooses among a pool's endpoints by what this entry has outstanding."""
+class EndpointChooser:
+    """Chooses an endpoint of a pool in turn or by this entry's outstanding calls."""
 
     outstanding: dict[str, int] = field(default_factory=dict)
-    turns: dict[str, int] = field(default_factory=dict)
+    rotations: dict[str, int] = field(default_factory=dict)
 
     def in_turn(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
-        """Return the endpoint whose turn it is."""
-        turn = self.turns.get(pool, 0)
-        self.turns[pool] = turn + 1
+        """Return the next endpoint in round-robin order."""
+        turn = self.rotations.get(pool, 0)
+        self.rotations[pool] = turn + 1
         return endpoints[turn % len(endpoints)]
 
     def least_outstanding(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
-        """Return the endpoint with the fewest outstanding attempts, in turn."""
-        first = self.turns.get(pool, 0)
-        self.turns[pool] = first + 1
-        turned = [*endpoints[first % len(endpoints) :], *endpoints]
-        return min(turned, key=lambda e: self.outstanding.get(e.id, 0))
+        """Return the endpoint with the fewest outstanding attempts; ties rotate."""
+        first = self.rotations.get(pool, 0)
+        self.rotations[pool] = first + 1
+        rotated = [*endpoints[first % len(endpoints) :], *endpoints]
+        return min(rotated, key=lambda e: self.outstanding.get(e.id, 0))
 
 
 class BaselinePlanner:
-    """Sends each stage to the endpoint that a rule names; admits everything."""
+    """Admits every request and chooses endpoints by a fixed rule."""
 
     def __init__(
         self, settings: PolicySettings, least_outstanding: bool, rule: RetryRule
@@ -140,7 +146,7 @@
         self._pools: dict[str, list[Endpoint]] = {}
         for endpoint in settings.endpoints.values():
             self._pools.setdefault(endpoint.pool, []).append(endpoint)
-        self._chooser = Chooser()
+        self._chooser = EndpointChooser()
         self._choose = (
             self._chooser.least_outstanding
             if least_outstanding
@@ -150,14 +156,14 @@
         self._requests: dict[str, _Request] = {}
 
     def request_arrived(self, now: float, arrival: Arrival) -> list[Action]:
-        """Send the first stage."""
+        """Send the request's first stage."""
         request = self._requests[arrival.request_id] = _Request(arrival)
         return self._send(request)
 
     def reply(
         self, now: float, attempt: AttemptId, result: AttemptResult
     ) -> list[Action]:
-        """Send the next stage, retry, answer or refuse."""
+        """Send the next stage, retry the current one, answer or refuse."""
         request = self._requests.get(attempt.request_id)
         if request is None or request.attempt != attempt:
             return []
@@ -171,24 +177,24 @@
         return [self._refuse(request, RefusalReason.STAGE_FAILED)]
 
     def progress(self, now: float, attempt: AttemptId, chunks: int) -> list[Action]:
-        """Take no notice."""
+        """Ignore progress."""
         return []
 
     def load_report(
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
-        """Take no notice."""
+        """Ignore load reports."""
         return []
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
-        """Take no notice."""
+        """Ignore cache events."""
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """End the requests whose deadline has passed."""
-        late = [r for r in self._requests.values() if r.arrival.deadline <= now]
+        """Refuse the requests whose deadline has passed."""
+        expired = [r for r in self._requests.values() if r.arrival.deadline <= now]
         actions: list[Action] = []
-        for request in late:
+        for request in expired:
             request.started |= request.attempt is not None
             self._release(request)
             actions.append(self._refuse(request, RefusalReason.DEADLINE))
@@ -202,10 +208,10 @@
             return [Answer(request.arrival.request_id)]
         return self._send(request)
 
-    def _may_retry(self, request: _Request, fate: AttemptOutcome) -> bool:
+    def _may_retry(self, request: _Request, outcome: AttemptOutcome) -> bool:
         if request.retries >= self._rule.limit:
             return False
-        if fate is AttemptOutcome.NOT_RUN:
+        if outcome is AttemptOutcome.NOT_RUN:
             return True
         stage = request.arrival.pipeline.stages[request.stage]
         return stage.repeatable and not self._rule.only_not_run
--- a/packages/operator/src/amaranthtally/operator/replay/bound.py
+++ b/packages/operator/src/amaranthtally/operator/replay/bound.py
@@ -1,14 +1,17 @@
 """
-A bound that no scheduler can pass, from knowing every arrival and all work.
-
-For each pool the calls of all requests that need it are placed on one fluid
-server as fast as all the pool's slots together, fault windows counted. A call is
-released no sooner than the fastest earlier stages allow and is due no later than
-the fastest later stages need. The most calls that can be on time there bounds the
-requests that can be: network, prefill, batches less than full, single-slot speed,
-placement, cut regions and the other pools are all left out, so the bound is loose
-rather than wrong. Releases and due times have one order, for which the rule of
-Kise, Ibaraki and Mine (1978) finds the most calls on time.
+Clairvoyant upper bound on the requests that any scheduler can answer in time.
+
+The bound uses every arrival and the work of every call. Each pool is modelled as one
+fluid server as fast as all its slots together, which includes the fault windows. A
+call is released when the fastest earlier stages can have finished, and it is due
+early enough for the fastest later stages. The maximum number of calls that this
+server finishes on time bounds the requests that can be answered in time.
+
+The model leaves out the network, prefill, partly filled batches, the speed of a
+single slot, placement, cut regions and the other pools. All of them only make a
+real schedule slower, so the bound can be loose but is never too low. Jobs in the
+order of their releases are also in the order of their due times; for such jobs the
+algorithm of Kise, Ibaraki and Mine (1978) maximises the number on time.
 """
 
 from bisect import bisect_right
@@ -30,9 +33,9 @@
 @dataclass(frozen=True, slots=True)
 class Bound:
     """
-    The most requests that can be answered in time, and the pool that limits.
+    The maximum number of requests answered in time, and the bottleneck pool.
 
-    ``capacity`` counts the pool's calls a second, without faults.
+    ``capacity`` is the bottleneck pool's rate without faults, in calls per second.
     """
 
     good: int
@@ -43,7 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A call at the fluid server, in work that the pool can have done by then."""
+    """
+    A call at the fluid server.
+
+    ``release`` and ``due`` are not times but the work, in seconds, that the pool can
+    have done by the call's release time and its due time.
+    """
 
     release: float
     due: float
@@ -51,25 +59,25 @@
 
 
 def clairvoyant_bound(trace: Trace) -> Bound:
-    """Return the tightest bound; its pool is the one with the least room."""
+    """Return the minimum of all pools' bounds, and the pool with the highest load."""
     total = len(trace.arrivals)
-    good, bottleneck, busiest = total, "", 0.0
+    good, bottleneck, highest_load = total, "", 0.0
     capacity = 0.0
     for pool in trace.header.pools:
         jobs = _jobs(trace, pool)
         if not jobs:
             continue
         good = min(good, total - len(jobs) + max_on_time_jobs(jobs))
-        served = _calls_per_s(trace.header, pool, jobs)
-        busy = len(jobs) / trace.header.duration_s / served
-        if busy > busiest:
-            bottleneck, busiest, capacity = pool.name, busy, served
+        calls_per_s = _calls_per_s(trace.header, pool, jobs)
+        load = len(jobs) / trace.header.duration_s / calls_per_s
+        if load > highest_load:
+            bottleneck, highest_load, capacity = pool.name, load, calls_per_s
     attainment = round(good / total, 4) if total else 1.0
     return Bound(good, attainment, bottleneck, round(capacity, 2))
 
 
 def max_on_time_jobs(jobs: list[Job]) -> int:
-    """Return how many of the jobs, ordered by release and due, can be on time."""
+    """Return the maximum number of jobs on time; they are sorted by release and due."""
     kept: list[Job] = []
     ends: list[float] = []
     for job in jobs:
@@ -82,7 +90,7 @@
 
 
 def _drop_job(kept: list[Job], ends: list[float]) -> None:
-    """Drop the job without which the last one ends soonest."""
+    """Remove the job whose removal lets the last job end earliest."""
     slack = float("inf")
     best, gain = len(kept) - 1, -1.0
     for i in range(len(kept) - 1, -1, -1):
@@ -109,7 +117,7 @@
 
 
 class _CumulativeWork:
-    """Maps time to the work that a pool can have done by then."""
+    """Maps a time to the work that a pool can have done by that time."""
 
     def __init__(self, header: Header, pool: PoolPlan) -> None:
         faults = [f for f in header.faults if f.endpoints]
@@ -121,7 +129,7 @@
             self._done.append(self._done[-1] + span * self._rates[i - 1])
 
     def work_by(self, time: float) -> float:
-        """Return the work that can be done from 0 to a time."""
+        """Return the work, in seconds, that the pool can do from 0 to ``time``."""
         i = max(0, bisect_right(self._times, time) - 1)
         return self._done[i] + (time - self._times[i]) * self._rates[i]
 
@@ -155,21 +163,21 @@
 def _min_time_around(
     trace: Trace, pool: PoolPlan, work: WorkModel
 ) -> tuple[float, float]:
-    """Return the least time of any request before and after its call to a pool."""
+    """Return the minimum time, over all requests, before and after the pool's call."""
     pools = {p.name: p for p in trace.header.pools}
     plans = {plan.name: plan for plan in trace.header.pipelines}
     before, after = [], []
     for arrival in trace.arrivals:
         plan = plans[arrival.pipeline]
-        at = _stage_index(plan, pool.name)
-        if at is None:
+        stage_index = _stage_index(plan, pool.name)
+        if stage_index is None:
             continue
         seconds = [
             work.stage_work(arrival.id, i, pools[stage.pool]).seconds
             for i, stage in enumerate(plan.stages)
         ]
-        before.append(sum(seconds[:at]))
-        after.append(sum(seconds[at + 1 :]))
+        before.append(sum(seconds[:stage_index]))
+        after.append(sum(seconds[stage_index + 1 :]))
     return min(before, default=0.0), min(after, default=0.0)
 
 
@@ -178,7 +186,7 @@
 
 
 def _endpoint_rate(pool: PoolPlan) -> float:
-    """Return the work, in seconds alone, that an endpoint does in a second."""
+    """Return the work per second of an endpoint; work is in seconds of a call alone."""
     return pool.slots / (1.0 + pool.batch_slope * (pool.slots - 1))
 
 
--- a/packages/operator/src/amaranthtally/operator/replay/command.py
+++ b/packages/operator/src/amaranthtally/operator/replay/command.py
@@ -35,7 +35,7 @@
 TRACE_SUFFIX = ".jsonl.gz"
 
 
-class _Printed(msgspec.Struct, frozen=True):
+class _Output(msgspec.Struct, frozen=True):
     reports: list[TraceReport]
     misses: list[MissedOutcome]
 
@@ -47,12 +47,12 @@
 
 
 def report_trace(name: str, trace: Trace, contenders: list[str]) -> TraceReport:
-    """Replay a trace for each contender and return the report."""
+    """Replay a trace with each contender and return the report."""
     header = trace.header
     bound = clairvoyant_bound(trace)
     figures = [
-        measure(each, header, replay(trace, get_contender(each)), bound.pool)
-        for each in contenders
+        measure(contender, header, replay(trace, get_contender(contender)), bound.pool)
+        for contender in contenders
     ]
     return build_report(name, header, bound, figures)
 
@@ -67,31 +67,31 @@
     """
     Replay traces through the policy on a virtual clock.
 
-    Exits with 1 where an outcome is missed and 2 where a file cannot be used.
+    Exits with 1 if an expected outcome is missed and 2 if a file cannot be used.
 
     Parameters
     ----------
     traces
         Trace files, compressed or not.
     outcomes
-        TOML file of stated outcomes.
+        TOML file of expected outcomes: limits on the reported figures.
     baselines
-        Replay the baselines beside the policy.
+        Replay the baselines as well as the policy.
     json
         Print JSON instead of tables.
     plot
-        SVG file to draw attainment and cost in.
+        SVG file to write a plot of attainment and cost to.
     """
     names = contender_names() if baselines else [POLICY]
     try:
-        stated = read_outcomes(outcomes) if outcomes else Outcomes()
+        expected = read_outcomes(outcomes) if outcomes else Outcomes()
         loaded = [(_trace_name(path), read_trace(path)) for path in traces]
     except (OutcomesError, TraceError) as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
     reports = [report_trace(name, trace, names) for name, trace in loaded]
-    misses = [miss for report in reports for miss in check(stated, report)]
-    _print(_Printed(reports, misses), json)
+    misses = [miss for report in reports for miss in check(expected, report)]
+    _print(_Output(reports, misses), json)
     if plot is not None:
         _plot(reports, plot)
     return EXIT_MISSED if misses else 0
@@ -105,7 +105,7 @@
     scenario: str = "",
 ) -> int:
     """
-    Make the traces of a deployment, alike for the same seed.
+    Make the traces of a deployment; the same seed gives the same traces.
 
     Parameters
     ----------
@@ -114,13 +114,15 @@
     out
         Directory for the traces.
     seed
-        Seed of arrivals and of the work of each stage.
+        Seed of the arrivals and of the work of each stage.
     scenario
-        One scenario; all of them when left out.
+        Scenario to make a trace of; all scenarios if left out.
     """
     names = [scenario] if scenario else scenario_names()
     if not set(names) <= set(scenario_names()):
-        sys.stderr.write(f"scenario: choose from {', '.join(scenario_names())}\n")
+        sys.stderr.write(
+            f"unknown scenario; choose from {', '.join(scenario_names())}\n"
+        )
         return EXIT_BAD_INPUT
     try:
         made = [make_trace(deployment, name, seed) for name in names]
@@ -136,21 +138,22 @@
     return 0
 
 
-def _print(printed: _Printed, as_json: bool) -> None:
+def _print(output: _Output, as_json: bool) -> None:
     if as_json:
-        text = msgspec.json.format(msgspec.json.encode(printed)).decode()
+        text = msgspec.json.format(msgspec.json.encode(output)).decode()
         sys.stdout.write(f"{text}\n")
         return
-    for report in printed.reports:
+    for report in output.reports:
         sys.stdout.write(f"{render_report(report)}\n")
-    if len(printed.reports) > 1:
-        sys.stdout.write(f"{render_summary(printed.reports)}\n")
-    for miss in printed.misses:
+    if len(output.reports) > 1:
+        sys.stdout.write(f"{render_summary(output.reports)}\n")
+    for miss in output.misses:
         sys.stdout.write(f"MISSED {miss}\n")
 
 
 def _plot(reports: list[TraceReport], path: Path) -> None:
-    # Matplotlib takes longer to load than a short trace takes to replay.
+    # Imported here because loading Matplotlib takes longer than replaying a short
+    # trace.
     from amaranthtally.operator.replay.plot import plot_reports
 
     plot_reports(reports, path)
--- a/packages/operator/src/amaranthtally/operator/replay/endpoints.py
+++ b/packages/operator/src/amaranthtally/operator/replay/endpoints.py
@@ -1,8 +1,8 @@
 """
-Fakes of endpoints on the virtual clock, in a registry that decorators fill.
+Fake endpoints on the virtual clock, registered by a decorator for each kind.
 
-An engine's running calls all advance at one rate, which falls as the batch grows;
-any other endpoint gives each slot the same speed.
+The running calls of an engine all advance at the same rate, which falls as the batch
+grows. At any other endpoint each call runs at a constant speed.
 """
 
 import heapq
@@ -27,9 +27,10 @@
 @dataclass(slots=True, eq=False)
 class Run:
     """
-    A call at an endpoint. ``seconds`` is its work alone on the endpoint.
+    A call at an endpoint; ``seconds`` is its run time alone on the endpoint.
 
-    ``done`` is told whether it finished; ``progress`` the chunks sent so far.
+    ``done`` is called at the end with whether the call finished. ``progress`` is
+    called with the number of chunks sent so far.
     """
 
     seconds: float
@@ -42,7 +43,7 @@
 
 
 class FakeEndpoint:
-    """What every fake endpoint shares: faults and the end of a call."""
+    """Base class of the fake endpoints: injected faults and the end of a call."""
 
     def __init__(self, clock: VirtualClock, pool: PoolPlan) -> None:
         self._clock = clock
@@ -53,21 +54,26 @@
         self._on_cache_event: Callable[[CacheEvent], None] | None = None
 
     def on_cache_event(self, callback: Callable[[CacheEvent], None]) -> None:
-        """Tell ``callback`` of changes of the prefix cache, if there is one."""
+        """Set the callback for changes of the prefix cache; only engines have one."""
         self._on_cache_event = callback
 
     def slow_down(self, factor: float) -> None:
-        """Take ``factor`` times as long for each call from now on."""
+        """Make each call that starts from now on take ``factor`` times as long."""
         self._slowdown = factor
 
     def fail(self, failing: bool) -> None:
-        """Fail every call soon after its start, and those that run, or stop so."""
+        """
+        Start or stop failing calls.
+
+        While failing, each call fails soon after its start; the calls that run now
+        fail at once.
+        """
         self._failing = failing
         for run in list(self._running) if failing else ():
             self._end(run, False)
 
     def clear_cache(self) -> None:
-        """Forget cached prefixes; only an engine has any."""
+        """Remove all cached prefixes; only engines have any."""
 
     def start(self, run: Run) -> None:
         """Start a call."""
@@ -78,7 +84,7 @@
         self._run(run)
 
     def cancel(self, run: Run) -> None:
-        """Stop a call at once without an answer."""
+        """Stop a call at once, without calling ``done``."""
         run.ended = True
         self._running.pop(run, None)
 
@@ -106,27 +112,27 @@
 
 
 def build_endpoint(clock: VirtualClock, pool: PoolPlan) -> FakeEndpoint:
-    """Return a fake of the pool's kind; raises ``KeyError`` for an unknown one."""
+    """Return a fake of the pool's kind; raises ``KeyError`` if it is unknown."""
     return _KINDS[pool.kind](clock, pool)
 
 
 @_endpoint_kind("encoder", "retriever", "reranker", "plain")
 class FakeServer(FakeEndpoint):
-    """Runs each call at its own constant speed."""
+    """Runs each call at a constant speed, whatever else runs."""
 
     def _run(self, run: Run) -> None:
         self._clock.after(run.seconds * self._slowdown, partial(self._end, run, True))
 
 
 class _PrefixCache:
-    """Prefix blocks in bounded memory, the least recently used removed first."""
+    """LRU cache of prefix blocks."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     def use(self, prefix: tuple[int, ...]) -> "_CacheUse":
-        """Cache every block of a prefix."""
+        """Cache every block of a prefix; return the hits and the changed blocks."""
         missed = [block for block in prefix if block not in self._blocks]
         hits = prefix.index(missed[0]) if missed else len(prefix)
         for block in reversed(prefix):
@@ -138,7 +144,7 @@
         return _CacheUse(hits, tuple(missed), tuple(removed))
 
     def clear(self) -> tuple[int, ...]:
-        """Forget every block and return them."""
+        """Remove every block and return them."""
         blocks = tuple(self._blocks)
         self._blocks.clear()
         return blocks
@@ -154,10 +160,11 @@
 @_endpoint_kind("engine")
 class FakeEngine(FakeEndpoint):
     """
-    Batches continuously: each running call advances one token a step.
+    Continuous batching: each running call advances by one token per decode step.
 
-    ``_decode_steps`` counts decode steps as real numbers, so that a change of batch
-    size moves one next event only. Prefill is charged as steps of the same call.
+    ``_decode_steps`` counts decode steps as a real number. Chunk events are scheduled
+    in steps, so a change of the batch size reschedules only the next event. The time
+    of a call's prefill is converted to additional steps of that call.
     """
 
     def __init__(self, clock: VirtualClock, pool: PoolPlan) -> None:
@@ -173,17 +180,17 @@
         self._cache_event_count = 0
 
     def slow_down(self, factor: float) -> None:
-        """Take ``factor`` times as long for each step from now on."""
+        """Make each decode step take ``factor`` times as long from now on."""
         self._update_steps()
         super().slow_down(factor)
         self._schedule_next_event()
 
     def clear_cache(self) -> None:
-        """Forget cached prefixes."""
+        """Remove all cached prefixes and publish their removal."""
         self._publish((), self._cache.clear())
 
     def cancel(self, run: Run) -> None:
-        """Take a call out of the batch."""
+        """Remove a call from the batch."""
         self._update_steps()
         super().cancel(run)
         self._batch.pop(run, None)
@@ -207,15 +214,20 @@
         self._publish(use.stored, use.removed)
         missed = len(run.prefix) - use.hits
         prefill_s = missed * self._pool.block_tokens * self._pool.prefill_token_s
-        first = self._decode_steps + prefill_s / self._pool.token_s
+        prefilled_at = self._decode_steps + prefill_s / self._pool.token_s
         steps_per_token = run.seconds / (run.tokens * self._pool.token_s)
-        done_before = min(run.resume_chunks * CHUNK_TOKENS, run.tokens - 1)
-        chunk = done_before // CHUNK_TOKENS
+        resumed_tokens = min(run.resume_chunks * CHUNK_TOKENS, run.tokens - 1)
+        chunk = resumed_tokens // CHUNK_TOKENS
         while chunk * CHUNK_TOKENS < run.tokens:
             chunk += 1
-            tokens = min(chunk * CHUNK_TOKENS, run.tokens) - done_before
+            tokens = min(chunk * CHUNK_TOKENS, run.tokens) - resumed_tokens
             self._serial += 1
-            chunk_event = (first + tokens * steps_per_token, self._serial, run, chunk)
+            chunk_event = (
+                prefilled_at + tokens * steps_per_token,
+                self._serial,
+                run,
+                chunk,
+            )
             heapq.heappush(self._chunk_events, chunk_event)
 
     def _publish(self, stored: tuple[int, ...], removed: tuple[int, ...]) -> None:
--- a/packages/operator/src/amaranthtally/operator/replay/entry.py
+++ b/packages/operator/src/amaranthtally/operator/replay/entry.py
@@ -1,4 +1,4 @@
-"""An entry on the virtual clock: carries out a planner's actions."""
+"""Fake entry on the virtual clock, which executes a planner's actions."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -33,7 +33,7 @@
 
 
 class EntryPlanner(Protocol):
-    """What an entry asks of its planner; the policy's ``Planner`` is one."""
+    """Interface of an entry's planner; the policy's ``Planner`` implements it."""
 
     def request_arrived(self, now: float, arrival: Arrival) -> list[Action]:
         """Admit or refuse a request."""
@@ -41,21 +41,21 @@
     def reply(
         self, now: float, attempt: AttemptId, result: AttemptResult
     ) -> list[Action]:
-        """Take the end of an attempt."""
+        """Handle the result of an attempt."""
 
     def progress(self, now: float, attempt: AttemptId, chunks: int) -> list[Action]:
-        """Take the progress of a streamed stage."""
+        """Handle the progress of a streamed stage: the chunks sent so far."""
 
     def load_report(
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
-        """Take an endpoint's load."""
+        """Handle an endpoint's load report."""
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
-        """Take an engine's word of its prefix cache."""
+        """Handle a change of an engine's prefix cache."""
 
     def tick(self, now: float) -> list[Action]:
-        """Act on the passing of time."""
+        """Handle timers, such as expired deadlines; called every ``TICK_S`` seconds."""
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
 
 
 class FakeEntry:
-    """Does what ``Executor`` of the daemon does, without I/O."""
+    """Stands in for the daemon's ``Executor``, without I/O."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self._clock = network.clock
         self._fleet = fleet
         self._recorder = recorder
-        self._live: dict[str, _LiveRequest] = {}
+        self._live_requests: dict[str, _LiveRequest] = {}
         self._handlers: dict[type, Callable[[Any], None]] = {
             Send: self._send,
             Cancel: self._cancel,
@@ -104,19 +104,19 @@
         return self._region
 
     def load_initial_reports(self) -> None:
-        """Take the load that each sidecar greets with."""
+        """Give the planner the current load of every sidecar."""
         for name, sidecar in self._fleet.items():
             self._execute(self._planner.load_report(0.0, name, sidecar.load()))
 
     def deliver_cache_event(self, sidecar: FakeSidecar, event: CacheEvent) -> None:
-        """Take an engine's cache event, unless a cut keeps it."""
+        """Pass an engine's cache event to the planner, unless a cut prevents it."""
         if self._network.is_reachable(self._region, sidecar.plan):
             name = sidecar.plan.id
             now = self._clock.now
             self._execute(self._planner.cache_event(now, name, event))
 
-    def arrive(self, recorded: TraceArrival, pipeline: Pipeline) -> None:
-        """Hand a recorded request to the planner."""
+    def submit(self, recorded: TraceArrival, pipeline: Pipeline) -> None:
+        """Submit a recorded request to the planner."""
         now = self._clock.now
         arrival = Arrival(
             request_id=recorded.id,
@@ -126,27 +126,27 @@
             input_bytes=recorded.input_bytes,
             prefix=tuple(recorded.prefix),
         )
-        self._live[recorded.id] = _LiveRequest(arrival, {})
+        self._live_requests[recorded.id] = _LiveRequest(arrival, {})
         self._recorder.start_request(recorded, arrival.deadline)
         self._execute(self._planner.request_arrived(now, arrival))
         record = self._recorder.request(recorded.id)
         record.admitted = record.outcome is None
 
     def tick(self) -> None:
-        """Let the planner act on the passing of time, again and again."""
+        """Call the planner's ``tick`` now and every ``TICK_S`` seconds."""
         self._execute(self._planner.tick(self._clock.now))
         self._clock.after(TICK_S, self.tick)
 
     def lose_attempts_across(self, region: str) -> None:
-        """Lose the attempts whose endpoint is across a cut around ``region``."""
-        crossing = [
+        """End as lost the attempts between ``region`` and the other regions."""
+        lost_attempts = [
             attempt
-            for live in self._live.values()
+            for live in self._live_requests.values()
             for attempt, live_attempt in live.attempts.items()
             if (self._fleet[live_attempt.endpoint].plan.region == region)
             != (self._region == region)
         ]
-        for attempt in crossing:
+        for attempt in lost_attempts:
             self._finish_attempt(attempt, AttemptResult(AttemptOutcome.LOST))
 
     # Actions
@@ -165,38 +165,40 @@
         live.attempts[send.attempt] = _LiveAttempt(send.endpoint, size)
         self._count_send(send)
         if not self._network.is_reachable(self._region, sidecar.plan):
-            lost = partial(
+            report_lost = partial(
                 self._finish_attempt, send.attempt, self._unreachable_result()
             )
-            self._clock.after(self._network.detection_delay_s, lost)
+            self._clock.after(self._network.detection_delay_s, report_lost)
             return
         self._count_bytes(send.attempt, sidecar, size)
         call = self._build_call(live, send, sidecar)
         self._clock.after(self._delay(sidecar), partial(sidecar.run, call))
 
     def _cancel(self, cancel: Cancel) -> None:
-        live = self._live.get(cancel.attempt.request_id)
+        live = self._live_requests.get(cancel.attempt.request_id)
         if live is not None and live.attempts.pop(cancel.attempt, None) is not None:
             self._cancel_attempt(cancel.attempt, cancel.endpoint)
 
-    def _query_attempt(self, ask: QueryAttempt) -> None:
-        live = self._require_live(ask.attempt.request_id, "QueryAttempt")
-        live.attempts[ask.attempt] = _LiveAttempt(ask.endpoint, 0)
-        sidecar = self._fleet[ask.endpoint]
+    def _query_attempt(self, query: QueryAttempt) -> None:
+        live = self._require_live(query.attempt.request_id, "QueryAttempt")
+        live.attempts[query.attempt] = _LiveAttempt(query.endpoint, 0)
+        sidecar = self._fleet[query.endpoint]
         if not self._network.is_reachable(self._region, sidecar.plan):
-            unknown = partial(
-                self._finish_attempt, ask.attempt, AttemptResult(AttemptOutcome.UNKNOWN)
+            report_unknown = partial(
+                self._finish_attempt,
+                query.attempt,
+                AttemptResult(AttemptOutcome.UNKNOWN),
             )
-            self._clock.after(self._network.detection_delay_s, unknown)
+            self._clock.after(self._network.detection_delay_s, report_unknown)
             return
-        reply = partial(self._reply_from, sidecar, ask.attempt)
-        outcome = partial(
-            sidecar.query_outcome, ask.attempt.request_id, ask.attempt.stage, reply
+        reply = partial(self._deliver_reply, sidecar, query.attempt)
+        query_outcome = partial(
+            sidecar.query_outcome, query.attempt.request_id, query.attempt.stage, reply
         )
-        self._clock.after(self._delay(sidecar), outcome)
+        self._clock.after(self._delay(sidecar), query_outcome)
 
-    def _poll_load(self, greet: PollLoad) -> None:
-        sidecar = self._fleet[greet.endpoint]
+    def _poll_load(self, poll: PollLoad) -> None:
+        sidecar = self._fleet[poll.endpoint]
         if self._network.is_reachable(self._region, sidecar.plan):
             self._clock.after(
                 2 * self._delay(sidecar), partial(self._apply_load, sidecar)
@@ -218,12 +220,12 @@
 
     def _remove_request(self, request_id: str, action: str) -> None:
         live = self._require_live(request_id, action)
-        del self._live[request_id]
+        del self._live_requests[request_id]
         for attempt, live_attempt in live.attempts.items():
             self._cancel_attempt(attempt, live_attempt.endpoint)
 
     def _require_live(self, request_id: str, action: str) -> _LiveRequest:
-        live = self._live.get(request_id)
+        live = self._live_requests.get(request_id)
         if live is None:
             raise DoubleEndError(request_id, action)
         return live
@@ -240,11 +242,11 @@
             repeatable=stage.repeatable,
             prefix=live.arrival.prefix if stage.streams else (),
             resume_chunks=send.resume_offset,
-            reply=partial(self._reply_from, sidecar, send.attempt),
-            progress=partial(self._progress_from, sidecar, send.attempt),
+            reply=partial(self._deliver_reply, sidecar, send.attempt),
+            progress=partial(self._deliver_progress, sidecar, send.attempt),
         )
 
-    def _reply_from(
+    def _deliver_reply(
         self, sidecar: FakeSidecar, attempt: AttemptId, result: AttemptResult
     ) -> None:
         if not self._network.is_reachable(self._region, sidecar.plan):
@@ -264,14 +266,14 @@
             return AttemptResult(AttemptOutcome.LOST)
         return AttemptResult(AttemptOutcome.NOT_RUN, unreachable=True)
 
-    def _progress_from(
+    def _deliver_progress(
         self, sidecar: FakeSidecar, attempt: AttemptId, chunks: int
     ) -> None:
         if not self._network.is_reachable(self._region, sidecar.plan):
             return
 
         def deliver() -> None:
-            live = self._live.get(attempt.request_id)
+            live = self._live_requests.get(attempt.request_id)
             if live is not None and attempt in live.attempts:
                 now = self._clock.now
                 self._execute(self._planner.progress(now, attempt, chunks))
@@ -279,7 +281,7 @@
         self._clock.after(self._delay(sidecar), deliver)
 
     def _finish_attempt(self, attempt: AttemptId, result: AttemptResult) -> None:
-        live = self._live.get(attempt.request_id)
+        live = self._live_requests.get(attempt.request_id)
         if live is None or live.attempts.pop(attempt, None) is None:
             return
         if result.outcome is AttemptOutcome.FINISHED:
--- a/packages/operator/src/amaranthtally/operator/replay/errors.py
+++ b/packages/operator/src/amaranthtally/operator/replay/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the replay; each message names the remedy."""
+"""Errors of the replay; each message says how to correct the fault."""
 
 from pathlib import Path
 
@@ -6,10 +6,12 @@
 
 
 class TraceError(Exception):
-    """A trace or deployment cannot be read."""
+    """A trace file or deployment file cannot be read."""
 
     def __init__(self, path: Path, detail: str) -> None:
-        super().__init__(f"{path}: {detail}; make it again with 'amaranthtally trace'")
+        super().__init__(
+            f"{path}: {detail}; create it again with 'amaranthtally trace'"
+        )
 
 
 class OutcomesError(Exception):
@@ -20,19 +22,19 @@
 
 
 class UnknownActionError(Exception):
-    """The policy returned a kind of action that the replay cannot carry out."""
+    """A planner returned an action of a type that the replay does not handle."""
 
     def __init__(self, kind: type) -> None:
         super().__init__(
-            f"action {kind.__name__} has no handler; add one to EntryReplay's table"
+            f"action {kind.__name__} has no handler; add one to FakeEntry's handlers"
         )
 
 
 class DoubleEndError(Exception):
-    """The policy ended a request twice, or acted on it after its end."""
+    """A planner acted on a request that had ended already."""
 
     def __init__(self, request_id: str, action: str) -> None:
         super().__init__(
             f"{action} for request {request_id} after its end; "
-            "mend the policy, the trace and seed repeat it"
+            "fix the planner; a replay of the same trace reproduces the error"
         )
--- a/packages/operator/src/amaranthtally/operator/replay/faults.py
+++ b/packages/operator/src/amaranthtally/operator/replay/faults.py
@@ -1,4 +1,4 @@
-"""What each kind of fault does to the fakes, in a registry that decorators fill."""
+"""Injection of faults into the fakes; a decorator registers each kind's injector."""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Everything that a fault can strike."""
+    """The fakes that faults can be injected into."""
 
     network: Network
     fleet: Mapping[str, FakeSidecar]
     entries: Sequence[FakeEntry]
 
     def affected_sidecars(self, fault: Fault) -> Iterable[FakeSidecar]:
-        """Return the sidecars of the endpoints that a fault names."""
+        """Return the sidecars of the endpoints that a fault affects."""
         return [self.fleet[name] for name in fault.endpoints]
 
 
@@ -30,7 +30,11 @@
 
 
 def schedule_faults(targets: Targets, faults: Iterable[Fault]) -> None:
-    """Put faults on the clock; bursts and floods are in the arrivals already."""
+    """
+    Schedule the start and the end of each fault on the clock.
+
+    Bursts and floods need no injection: the trace's arrivals contain them.
+    """
     for fault in faults:
         injector = _INJECTORS.get(fault.kind)
         if injector is not None:
@@ -68,8 +72,8 @@
     clock.at(fault.start_s, partial(targets.network.cut, fault.region))
     clock.at(fault.end_s, partial(targets.network.cut, ""))
     for entry in targets.entries:
-        lose = partial(entry.lose_attempts_across, fault.region)
-        clock.at(fault.start_s + CUT_DETECTION_S, lose)
+        lose_attempts = partial(entry.lose_attempts_across, fault.region)
+        clock.at(fault.start_s + CUT_DETECTION_S, lose_attempts)
 
 
 @_injector(FaultKind.LATE_LOAD)
--- a/packages/operator/src/amaranthtally/operator/replay/measures.py
+++ b/packages/operator/src/amaranthtally/operator/replay/measures.py
@@ -1,4 +1,4 @@
-"""Figures of one replay, from its ledger."""
+"""Calculates the figures of one replay from its recorded requests."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 __all__ = ["Figures", "jain_index", "max_min_shares", "measure"]
 
 P99 = 0.99
-# A burst shows in the answers only once its first requests can be through.
+# A burst affects the answers only after its first requests can have finished.
 BURST_LAG_S = 1.5
 
 
@@ -20,10 +20,11 @@
     """
     Figures of one contender on one trace.
 
-    Shares go from 0 to 1. ``cost`` is in prices of the trace's header: one engine
-    slot for one second is 1. ``goodput`` counts answers in time a second of trace;
-    ``burst_goodput`` those that needed the scarcest pool, a second of the burst,
-    from ``BURST_LAG_S`` after its start to as long after its end.
+    Shares are from 0 to 1. Costs are in the unit of the prices in the trace's header,
+    where one engine slot costs 1 per second. ``goodput`` is answers in time per second
+    of the trace. ``burst_goodput`` is answers in time per second of the burst, for
+    requests that need the bottleneck pool; the burst is counted from ``BURST_LAG_S``
+    after its start to ``BURST_LAG_S`` after its end.
     """
 
     contender: str
@@ -55,13 +56,13 @@
 def measure(
     name: str, header: Header, recorder: ReplayRecorder, bottleneck: str
 ) -> Figures:
-    """Return the figures of a finished replay; ``bottleneck`` names a pool."""
+    """Return the figures of a finished replay; ``bottleneck`` is the name of a pool."""
     requests = recorder.requests
     good = [r for r in requests if r.good]
     admitted = [r for r in requests if r.admitted]
     latencies = [(r.ended_at or 0.0) - r.arrival.at for r in good]
     cost = _cost_by_pool(requests, header)
-    region_bytes = _sum_bytes(requests)
+    region_bytes = _bytes_by_pool(requests)
     spent_s, wasted_s = _slot_seconds(requests)
     return Figures(
         contender=name,
@@ -92,7 +93,7 @@
 
 
 def max_min_shares(demands: list[int], total: float) -> list[float]:
-    """Return how ``total`` is shared max-min fairly among demands."""
+    """Return the max-min fair shares of ``total`` for the given demands."""
     shares = [0.0] * len(demands)
     remaining = sorted(range(len(demands)), key=lambda i: demands[i])
     unshared = total
@@ -105,13 +106,13 @@
 
 
 def jain_index(values: list[float]) -> float:
-    """Return Jain's index: 1 where all values are equal, 1/n where one has all."""
+    """Return Jain's index: 1 if all n values are equal, 1/n if one has the whole sum."""
     squares = sum(v * v for v in values)
     return sum(values) ** 2 / (len(values) * squares) if squares else 1.0
 
 
 def _fairness(requests: list[RequestRecord]) -> float:
-    """Jain's index over answers by the max-min fair share of all answers."""
+    """Return Jain's index over each account's answers per max-min fair share."""
     submitted = Counter(r.arrival.account for r in requests)
     good = Counter(r.arrival.account for r in requests if r.good)
     accounts = sorted(submitted)
@@ -133,7 +134,7 @@
     return {pool: value for pool, value in cost.items() if value}
 
 
-def _sum_bytes(requests: Iterable[RequestRecord]) -> dict[str, int]:
+def _bytes_by_pool(requests: Iterable[RequestRecord]) -> dict[str, int]:
     total: Counter[str] = Counter()
     for record in requests:
         total.update(record.region_bytes)
@@ -161,10 +162,10 @@
         for plan in header.pipelines
         if any(stage.pool == bottleneck for stage in plan.stages)
     }
-    inside = sum(
+    answers = sum(
         r.arrival.pipeline in users and start <= (r.ended_at or 0.0) < end for r in good
     )
-    return _round(inside / (end - start))
+    return _round(answers / (end - start))
 
 
 def _refusals(requests: Iterable[RequestRecord]) -> dict[str, int]:
--- a/packages/operator/src/amaranthtally/operator/replay/network.py
+++ b/packages/operator/src/amaranthtally/operator/replay/network.py
@@ -1,4 +1,4 @@
-"""Constant latencies between places, and a region that is cut off."""
+"""Fake network with constant latencies and at most one isolated region."""
 
 from amaranthtally.operator.replay.trace import EndpointPlan, LatencyPlan
 from amaranthtally.simulator.clock import VirtualClock
@@ -10,11 +10,11 @@
 
 class Network:
     """
-    Says how long a message takes and whether it gets through.
+    Latency and reachability between entries and endpoints.
 
-    An entry notices a cut after ``CUT_DETECTION_S`` seconds, by a missing heartbeat on
-    connections that stand and by the time-out of a new one. Each region has one
-    entry, in its first data centre.
+    An entry detects a cut after ``CUT_DETECTION_S`` seconds: on an open connection by
+    a missing heartbeat, on a new connection by its time-out. Each region has one
+    entry, in the region's first data centre.
     """
 
     def __init__(
@@ -31,37 +31,37 @@
 
     @property
     def clock(self) -> VirtualClock:
-        """The clock that messages take their time on."""
+        """The virtual clock."""
         return self._clock
 
     @property
     def is_cut_undetected(self) -> bool:
-        """Whether a cut is so new that connections across it seem to stand."""
+        """Whether a cut is too recent for entries to have detected it."""
         return self._clock.now < self._cut_at + CUT_DETECTION_S
 
     @property
     def detection_delay_s(self) -> float:
-        """Seconds until a message sent now across the cut is known to be lost."""
+        """Seconds until the loss of a message sent now across the cut is detected."""
         if self.is_cut_undetected:
             return self._cut_at + CUT_DETECTION_S - self._clock.now
         return CUT_DETECTION_S
 
     def cut(self, region: str) -> None:
-        """Cut a region off from the others, or none when the name is empty."""
+        """Isolate a region from the others; an empty name ends the isolation."""
         self._cut_region = region
         self._cut_at = self._clock.now
 
     def is_reachable(self, entry_region: str, endpoint: EndpointPlan) -> bool:
-        """Whether a message gets through now."""
+        """Whether a message between an entry and an endpoint arrives now."""
         if not self._cut_region:
             return True
-        across = (entry_region == self._cut_region) != (
+        crosses_cut = (entry_region == self._cut_region) != (
             endpoint.region == self._cut_region
         )
-        return not across
+        return not crosses_cut
 
     def delay_s(self, entry_region: str, endpoint: EndpointPlan) -> float:
-        """One-way latency in seconds."""
+        """Return the one-way latency in seconds."""
         if endpoint.region != entry_region:
             return self._latency.regions_s
         if endpoint.data_centre != self._entry_data_centres[entry_region]:
--- a/packages/operator/src/amaranthtally/operator/replay/outcomes.py
+++ b/packages/operator/src/amaranthtally/operator/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""Stated outcomes, read from TOML and checked against the figures of a replay."""
+"""Expected outcomes, read from TOML and checked against the figures of a replay."""
 
 import operator
 import tomllib
@@ -14,7 +14,7 @@
 
 
 class Limit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The least and the most that a figure may be."""
+    """The minimum and the maximum of a figure, both inclusive."""
 
     min: float | None = None
     max: float | None = None
@@ -22,21 +22,21 @@
 
 class Outcomes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    What a trace must show: ``all`` for every trace, ``scenario.NAME`` for one.
+    Limits on figures: ``all`` for every trace, ``scenario.NAME`` for one scenario.
 
-    A limit under a scenario replaces the one of the same name under ``all``.
+    A scenario's limit replaces the limit on the same figure under ``all``.
     """
 
     all: dict[str, Limit] = {}
     scenario: dict[str, dict[str, Limit]] = {}
 
     def limits(self, scenario: str) -> dict[str, Limit]:
-        """Return the limits that hold for a scenario."""
+        """Return the limits that apply to a scenario."""
         return self.all | self.scenario.get(scenario, {})
 
 
 class MissedOutcome(msgspec.Struct, frozen=True):
-    """An outcome that was not reached."""
+    """A figure outside its limit; ``wanted`` is the limit, such as ``>= 0.9``."""
 
     trace: str
     figure: str
@@ -54,31 +54,35 @@
         outcomes = msgspec.convert(table, type=Outcomes)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise OutcomesError(path, str(error)) from error
-    named = {name for limits in outcomes.scenario.values() for name in limits}
-    unknown = (named | set(outcomes.all)) - set(TraceReport.outcome_figure_names())
+    scenario_figures = {
+        name for limits in outcomes.scenario.values() for name in limits
+    }
+    unknown = (scenario_figures | set(outcomes.all)) - set(
+        TraceReport.outcome_figure_names()
+    )
     if unknown:
         raise OutcomesError(path, f"unknown figures {', '.join(sorted(unknown))}")
     return outcomes
 
 
 def check(outcomes: Outcomes, report: TraceReport) -> list[MissedOutcome]:
-    """Return the outcomes that a trace's report misses."""
-    stated = report.outcome_figures()
+    """Return the expected outcomes that a trace's report misses."""
+    figures = report.outcome_figures()
     misses = []
     for name, limit in sorted(outcomes.limits(report.scenario).items()):
-        value = stated[name]
-        for wanted, beyond, sign in (
+        value = figures[name]
+        for bound, is_violation, sign in (
             (limit.min, operator.lt, ">="),
             (limit.max, operator.gt, "<="),
         ):
-            if wanted is not None and _is_beyond(value, wanted, beyond):
+            if bound is not None and _violates(value, bound, is_violation):
                 misses.append(
-                    MissedOutcome(report.trace, name, value, f"{sign} {wanted}")
+                    MissedOutcome(report.trace, name, value, f"{sign} {bound}")
                 )
     return misses
 
 
-def _is_beyond(
-    value: float, wanted: float, beyond: Callable[[float, float], bool]
+def _violates(
+    value: float, bound: float, is_violation: Callable[[float, float], bool]
 ) -> bool:
-    return beyond(value, wanted)
+    return is_violation(value, bound)
--- a/packages/operator/src/amaranthtally/operator/replay/plot.py
+++ b/packages/operator/src/amaranthtally/operator/replay/plot.py
@@ -1,4 +1,4 @@
-"""A plot of attainment and cost by trace and contender."""
+"""Plots attainment and cost by trace and contender."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -18,12 +18,12 @@
 WIDTH_IN = 11.0
 HEIGHT_IN = 7.0
 GROUP_WIDTH = 0.84
-# Fixed ids and no date: the same reports give the same bytes.
+# A fixed salt for ids, and no date, make the SVG the same for the same reports.
 HASH_SALT = "amaranthtally"
 
 
 def plot_reports(reports: Sequence[TraceReport], path: Path) -> None:
-    """Write a plot of reports as SVG."""
+    """Write a plot of the reports as SVG."""
     mpl.rcParams["svg.hashsalt"] = HASH_SALT
     mpl.rcParams["svg.fonttype"] = "none"
     figure, (upper, lower) = pyplot.subplots(
@@ -52,8 +52,8 @@
     contenders: list[Figures] = reports[0].contenders
     width = GROUP_WIDTH / len(contenders)
     for i, figures in enumerate(contenders):
-        shift = (i - (len(contenders) - 1) / 2) * width
-        positions = [at + shift for at in range(len(reports))]
+        offset = (i - (len(contenders) - 1) / 2) * width
+        positions = [trace_position + offset for trace_position in range(len(reports))]
         heights = [row[i] for row in values]
         axes.bar(positions, heights, width, label=figures.contender)
     axes.grid(axis="y", alpha=0.3)
@@ -61,12 +61,12 @@
 
 def _draw_bounds(axes: Axes, reports: Sequence[TraceReport]) -> None:
     half = GROUP_WIDTH / 2
-    for at, report in enumerate(reports):
+    for position, report in enumerate(reports):
         axes.hlines(
             report.bound_attainment,
-            at - half,
-            at + half,
+            position - half,
+            position + half,
             colors="black",
             linestyles="dashed",
-            label="clairvoyant bound" if at == 0 else "",
+            label="clairvoyant bound" if position == 0 else "",
         )
--- a/packages/operator/src/amaranthtally/operator/replay/profiles.py
+++ b/packages/operator/src/amaranthtally/operator/replay/profiles.py
@@ -1,4 +1,4 @@
-"""What a deployment file leaves open: service times, sizes and prices by kind."""
+"""Service times, sizes and prices by kind of pool, which a deployment file lacks."""
 
 from typing import Any
 
@@ -24,13 +24,14 @@
 MS = 0.001
 PIPELINE_PREFIX = "pipeline:"
 
-# Agrosalv weighs answers in time more, Qoryq cost by stage.
-USER_WEIGHTS = {"agrosalv": 0.9, "qoryq": 0.4}
-DEFAULT_WEIGHT = 0.7
+# ``weight_attainment`` by deployment: Agrosalv gives more weight to answers in time,
+# Qoryq to cost by stage.
+ATTAINMENT_WEIGHTS = {"agrosalv": 0.9, "qoryq": 0.4}
+DEFAULT_ATTAINMENT_WEIGHT = 0.7
 
-# Seconds, bytes and prices of one slot-second, by kind of pool. They are round
-# numbers of the order that such services take; the stand-ins' knobs in the
-# deployment file are chosen for a quick start and are not used.
+# Times in seconds, sizes in bytes and prices per slot-second, by kind of pool. They are
+# round numbers of the order of magnitude of such services. The parameters of the
+# stand-ins in the deployment file are chosen for a quick start and are not used here.
 PROFILES = {
     "encoder": PoolPlan("", "encoder", 4, 0.1, 6_000, service_s=0.025, sigma=0.3),
     "retriever": PoolPlan(
@@ -74,7 +75,7 @@
 
 
 def pool_plans(table: dict[str, Any]) -> list[PoolPlan]:
-    """Return the pools with their kinds' profiles."""
+    """Return the pools; each has the profile of its kind."""
     return [
         msgspec.structs.replace(
             PROFILES[pool["kind"]],
@@ -86,26 +87,33 @@
 
 
 def endpoint_plans(table: dict[str, Any]) -> list[EndpointPlan]:
-    """Return the endpoints, each pool's spread over the data centres in turn."""
+    """Return the endpoints; each pool's are assigned to the data centres in turn."""
     data_centres = [
         (region["name"], centre)
         for region in table["regions"]
         for centre in region["data_centres"]
     ]
-    # One data centre of each region first, so that three servers reach them all.
-    firsts = [(r["name"], r["data_centres"][0]) for r in table["regions"]]
-    ordered = firsts + [
-        data_centre for data_centre in data_centres if data_centre not in firsts
+    # The first data centre of each region comes first, so that a pool with as few as
+    # three servers has one in each region.
+    first_data_centres = [(r["name"], r["data_centres"][0]) for r in table["regions"]]
+    ordered_data_centres = first_data_centres + [
+        data_centre
+        for data_centre in data_centres
+        if data_centre not in first_data_centres
     ]
     return [
-        EndpointPlan(f"{pool['name']}-{i}", pool["name"], *ordered[i % len(ordered)])
+        EndpointPlan(
+            f"{pool['name']}-{i}",
+            pool["name"],
+            *ordered_data_centres[i % len(ordered_data_centres)],
+        )
         for pool in table["pools"]
         for i in range(pool["servers"])
     ]
 
 
 def pipeline_plans(table: dict[str, Any]) -> list[PipelinePlan]:
-    """Return the pipelines that the deployment's settings name."""
+    """Return the pipelines that the deployment's settings define."""
     return [
         _pipeline(table["name"], scope.removeprefix(PIPELINE_PREFIX), values)
         for scope, values in table["settings"].items()
@@ -119,5 +127,5 @@
         msgspec.convert({"name": stage, **tables[stage]}, type=StagePlan)
         for stage in values["stages"]
     ]
-    weight = USER_WEIGHTS.get(deployment, DEFAULT_WEIGHT)
+    weight = ATTAINMENT_WEIGHTS.get(deployment, DEFAULT_ATTAINMENT_WEIGHT)
     return PipelinePlan(name, stages, values["deadline_ms"] * MS, weight)
--- a/packages/operator/src/amaranthtally/operator/replay/queues.py
+++ b/packages/operator/src/amaranthtally/operator/replay/queues.py
@@ -1,4 +1,4 @@
-"""The queue that the baselines' sidecars use."""
+"""FIFO queue for the sidecars of the baselines."""
 
 from collections import deque
 
@@ -8,65 +8,65 @@
 
 
 class FirstInFirstOut:
-    """A queue in the order of arrival with a constant limit on what runs."""
+    """FIFO queue with a constant limit on the calls that run at once."""
 
     def __init__(self, limit: int, capacity: int) -> None:
         self._limit = limit
         self._capacity = capacity
-        self._waiting: deque[QueuedCall] = deque()
+        self._queued_calls: deque[QueuedCall] = deque()
         self._running = 0
 
     @property
     def running(self) -> int:
-        """Calls that run now."""
+        """Number of running calls."""
         return self._running
 
     @property
     def queued(self) -> int:
-        """Calls that wait."""
-        return len(self._waiting)
+        """Number of queued calls."""
+        return len(self._queued_calls)
 
     @property
     def limit(self) -> int:
-        """Calls that may run at once."""
+        """Maximum number of calls that run at once."""
         return self._limit
 
     @property
     def service_s(self) -> float:
-        """Not measured."""
+        """Always 0: this queue does not measure the time of a call."""
         return 0.0
 
     @property
     def backlog_s(self) -> float:
-        """Not measured."""
+        """Always 0: this queue does not predict the wait of a new call."""
         return 0.0
 
     def offer(self, now: float, call: QueuedCall) -> bool:
-        """Queue a call; false when the queue is full."""
-        if len(self._waiting) >= self._capacity:
+        """Queue a call; return false if the queue is full."""
+        if len(self._queued_calls) >= self._capacity:
             return False
-        self._waiting.append(call)
+        self._queued_calls.append(call)
         return True
 
     def next_call(self, now: float) -> QueuedCall | None:
-        """Return a call to start now, or ``None``."""
-        if not self._waiting or self._running >= self._limit:
+        """Return the next call to start now, or ``None``."""
+        if not self._queued_calls or self._running >= self._limit:
             return None
         self._running += 1
-        return self._waiting.popleft()
+        return self._queued_calls.popleft()
 
     def withdraw(self, call: QueuedCall) -> None:
-        """Remove a call that waits."""
-        self._waiting.remove(call)
+        """Remove a queued call."""
+        self._queued_calls.remove(call)
 
     def dropped(self, now: float) -> list[QueuedCall]:
-        """Return nothing: late work is not dropped."""
+        """Return an empty list: this queue drops no expired calls."""
         return []
 
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
-        """Note that a running call ended."""
+        """Free the slot of a call that ended."""
         self._running -= 1
 
     def released(self) -> None:
-        """Note that a running call was cut off."""
+        """Free the slot of a call that was aborted."""
         self._running -= 1
--- a/packages/operator/src/amaranthtally/operator/replay/recorder.py
+++ b/packages/operator/src/amaranthtally/operator/replay/recorder.py
@@ -1,4 +1,4 @@
-"""What happened in one replay, counted as it happens."""
+"""Records each request of one replay and counts the planner's actions."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class AttemptCost:
-    """Slot-seconds of one attempt at a pool, and its price."""
+    """Slot-seconds of one attempt at a pool, and the price of a slot-second."""
 
     pool: str
     run_s: float
@@ -20,7 +20,12 @@
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request from arrival to end; times in seconds."""
+    """
+    One request from arrival to end; times are in seconds.
+
+    ``useful`` holds the attempts that finished and whose result the entry used.
+    ``started`` counts the attempts that an endpoint started.
+    """
 
     arrival: TraceArrival
     deadline: float
@@ -36,16 +41,20 @@
 
     @property
     def good(self) -> bool:
-        """Whether the whole answer came within the deadline."""
+        """Whether the complete answer arrived by the deadline."""
         return self.answered and (self.ended_at or 0.0) <= self.deadline
 
 
 class ReplayRecorder:
-    """Records of every request, and counts of what the planner did."""
+    """
+    Records of all requests, and counts of sends, retries and hedges.
+
+    ``false_not_run`` counts attempts started in spite of the outcome NOT_RUN.
+    """
 
     def __init__(self) -> None:
         self._requests: dict[str, RequestRecord] = {}
-        self._effects: dict[tuple[str, int], int] = defaultdict(int)
+        self._starts_by_call: dict[tuple[str, int], int] = defaultdict(int)
         self.sends = 0
         self.retries = 0
         self.hedges = 0
@@ -53,16 +62,16 @@
 
     @property
     def requests(self) -> list[RequestRecord]:
-        """The requests in the order of their arrivals."""
+        """The request records, in order of arrival."""
         return list(self._requests.values())
 
     @property
     def doubled_effects(self) -> int:
-        """Calls that may not be repeated and started more than once."""
-        return sum(1 for count in self._effects.values() if count > 1)
+        """Number of at-most-once calls that started more than once."""
+        return sum(1 for count in self._starts_by_call.values() if count > 1)
 
     def start_request(self, arrival: TraceArrival, deadline: float) -> None:
-        """Note an arrival."""
+        """Start the record of a request that arrived."""
         self._requests[arrival.id] = RequestRecord(arrival, deadline)
 
     def request(self, request_id: str) -> RequestRecord:
@@ -70,23 +79,23 @@
         return self._requests[request_id]
 
     def note_start(self, attempt: AttemptId, repeatable: bool) -> None:
-        """Note that an endpoint started an attempt."""
+        """Record that an endpoint started an attempt."""
         record = self._requests[attempt.request_id]
         record.started += 1
         if record.outcome is RequestOutcome.NOT_RUN:
             self.false_not_run += 1
         if not repeatable:
-            self._effects[(attempt.request_id, attempt.stage)] += 1
+            self._starts_by_call[(attempt.request_id, attempt.stage)] += 1
 
     def note_run(self, attempt: AttemptId, pool: PoolPlan, run_s: float) -> None:
-        """Note how long an attempt held its slot, in seconds."""
+        """Record how long an attempt held its slot, in seconds."""
         cost = AttemptCost(pool.name, run_s, pool.price)
         self._requests[attempt.request_id].costs[attempt] = cost
 
     def note_bytes(self, request_id: str, pool: str, size: int) -> None:
-        """Note bytes that crossed between regions for a stage's pool."""
-        known = self._requests[request_id].region_bytes
-        known[pool] = known.get(pool, 0) + size
+        """Record bytes sent between regions for calls to a pool."""
+        bytes_by_pool = self._requests[request_id].region_bytes
+        bytes_by_pool[pool] = bytes_by_pool.get(pool, 0) + size
 
     def end(
         self,
@@ -95,7 +104,7 @@
         outcome: RequestOutcome | None = None,
         reason: RefusalReason | None = None,
     ) -> None:
-        """Note a request's end: answered, or refused with an outcome."""
+        """Record a request's end: refused if it has an ``outcome``, else answered."""
         record = self._requests[request_id]
         record.ended_at = now
         record.answered = outcome is None
--- a/packages/operator/src/amaranthtally/operator/replay/report.py
+++ b/packages/operator/src/amaranthtally/operator/replay/report.py
@@ -1,4 +1,4 @@
-"""The report of one trace: every contender's figures, the bound, and ratios."""
+"""Report of one trace: the contenders' figures, the bound and their ratios."""
 
 import msgspec
 
@@ -9,11 +9,11 @@
 
 __all__ = ["TraceReport", "build_report"]
 
-EQUAL_WITHIN = 0.01
+EQUAL_ATTAINMENT_TOLERANCE = 0.01
 
 
 class TraceReport(msgspec.Struct, frozen=True):
-    """What a trace showed; ``capacity`` in requests a second without faults."""
+    """Figures of one trace; ``capacity`` is in requests per second without faults."""
 
     trace: str
     deployment: str
@@ -26,7 +26,7 @@
 
     @staticmethod
     def outcome_figure_names() -> list[str]:
-        """Return the names of figures that outcomes can state."""
+        """Return the names of the figures that ``outcome_figures`` returns."""
         return sorted(
             {
                 *(
@@ -41,16 +41,17 @@
         )
 
     def figures(self, contender: str) -> Figures | None:
-        """Return a contender's figures."""
+        """Return a contender's figures, or ``None`` if it was not replayed."""
         return next((f for f in self.contenders if f.contender == contender), None)
 
     def outcome_figures(self) -> dict[str, float]:
         """
-        Return the policy's figures and its ratios to the bound and baselines.
+        Return the policy's figures and their ratios to the bound and the baselines.
 
-        ``cost_of_equal_baseline`` compares with the cheapest baseline that attains
-        as much within 0.01, and is 0 where there is none: one that loses requests
-        has emptier engines, so that its other answers look cheap.
+        ``cost_of_equal_baseline`` is the ratio to the cheapest baseline whose
+        attainment is at most 0.01 below the policy's, or 0 if there is none. Baselines
+        that fail more requests are excluded: their engines are less loaded, which makes
+        their remaining answers look cheap.
         """
         policy = self.figures(POLICY)
         assert policy is not None
@@ -64,7 +65,9 @@
         best_attainment = max(f.attainment for f in baselines)
         best_cost = min(f.cost_per_answer for f in baselines)
         equal = [
-            f for f in baselines if f.attainment >= policy.attainment - EQUAL_WITHIN
+            f
+            for f in baselines
+            if f.attainment >= policy.attainment - EQUAL_ATTAINMENT_TOLERANCE
         ]
         equal_cost = min((f.cost_per_answer for f in equal), default=0.0)
         return numbers | {
@@ -81,7 +84,7 @@
 def build_report(
     name: str, header: Header, bound: Bound, contenders: list[Figures]
 ) -> TraceReport:
-    """Return the report of a trace whose contenders have been measured."""
+    """Return the report of a trace from its contenders' figures."""
     return TraceReport(
         trace=name,
         deployment=header.deployment,
--- a/packages/operator/src/amaranthtally/operator/replay/scenarios.py
+++ b/packages/operator/src/amaranthtally/operator/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""Makes traces from a deployment file and a seed; scenarios fill a registry."""
+"""Makes traces from a deployment file and a seed; a decorator registers scenarios."""
 
 import random
 import tomllib
@@ -35,7 +35,7 @@
 FLOOD_FACTOR = 25.0
 SLOW_FACTOR = 4.0
 LOAD_LAG_S = 3.0
-# A gigabyte costs as much as one engine slot for 300 seconds.
+# Traffic between regions: a gigabyte costs as much as one engine slot for 300 s.
 REGION_BYTE_PRICE = 3e-7
 ACCOUNT_WEIGHTS = (0.4, 0.3, 0.15, 0.1, 0.05)
 REGION_WEIGHTS = (0.5, 0.3, 0.2)
@@ -52,11 +52,11 @@
 
     @property
     def engines(self) -> list[str]:
-        """Endpoints that are model engines, in order."""
+        """Ids of the endpoints that are model engines, in order."""
         return self.endpoints_of_kind("engine")
 
     def endpoints_of_kind(self, kind: str) -> list[str]:
-        """Endpoints of a kind, in order."""
+        """Return the ids of the endpoints of a kind, in order."""
         pools = {p["name"] for p in self.table["pools"] if p["kind"] == kind}
         return [e.id for e in self.endpoints if e.pool in pools]
 
@@ -93,7 +93,7 @@
         pipelines=pipeline_plans(table),
         faults=faults,
     )
-    return Trace(header, _arrivals(header))
+    return Trace(header, _make_arrivals(header))
 
 
 # Scenarios
@@ -173,21 +173,23 @@
 # Arrivals
 
 
-def _arrivals(header: Header) -> list[TraceArrival]:
+def _make_arrivals(header: Header) -> list[TraceArrival]:
     generator = random.Random(f"{header.deployment}/{header.scenario}/{header.seed}")
     arrivals: list[TraceArrival] = []
     at = 0.0
-    peak = _peak_factor(header.faults)
+    peak = _peak_rate_factor(header.faults)
     while True:
         at += generator.expovariate(ARRIVALS_PER_S * peak)
         if at >= header.duration_s:
             return arrivals
-        account = generator.choices(header.accounts, _weights_at(header, at))[0]
-        if generator.random() < _factor_at(header, at) / peak:
-            arrivals.append(_arrival(header, generator, len(arrivals), at, account))
+        account = generator.choices(header.accounts, _account_weights_at(header, at))[0]
+        if generator.random() < _rate_factor_at(header, at) / peak:
+            arrivals.append(
+                _make_arrival(header, generator, len(arrivals), at, account)
+            )
 
 
-def _arrival(
+def _make_arrival(
     header: Header, generator: random.Random, number: int, at: float, account: str
 ) -> TraceArrival:
     side_effect = generator.random() < SIDE_EFFECT_SHARE
@@ -212,7 +214,7 @@
     return any(not stage.repeatable for stage in stages)
 
 
-def _weights_at(header: Header, at: float) -> list[float]:
+def _account_weights_at(header: Header, at: float) -> list[float]:
     weights = list(ACCOUNT_WEIGHTS[: len(header.accounts)])
     for fault in header.faults:
         if fault.kind is FaultKind.FLOOD and fault.start_s <= at < fault.end_s:
@@ -220,15 +222,15 @@
     return weights
 
 
-def _factor_at(header: Header, at: float) -> float:
-    """Return how many times more requests arrive at a time than in steady load."""
-    factor = sum(_weights_at(header, at))
+def _rate_factor_at(header: Header, at: float) -> float:
+    """Return the arrival rate at a time, as a multiple of the steady rate."""
+    factor = sum(_account_weights_at(header, at))
     for fault in header.faults:
         if fault.kind is FaultKind.BURST and fault.start_s <= at < fault.end_s:
             factor *= fault.factor
     return factor
 
 
-def _peak_factor(faults: list[Fault]) -> float:
+def _peak_rate_factor(faults: list[Fault]) -> float:
     factors = [f.factor for f in faults if f.kind in (FaultKind.BURST, FaultKind.FLOOD)]
     return max([1.0, *factors])
--- a/packages/operator/src/amaranthtally/operator/replay/sidecar.py
+++ b/packages/operator/src/amaranthtally/operator/replay/sidecar.py
@@ -1,4 +1,4 @@
-"""A sidecar on the virtual clock: the policy's run queue before a fake endpoint."""
+"""Fake sidecar on the virtual clock: a queue of calls and a fake endpoint."""
 
 from collections import deque
 from collections.abc import Callable
@@ -28,50 +28,50 @@
 
 
 class Queue(Protocol):
-    """What a sidecar asks of its queue; the policy's ``RunQueue`` is one."""
+    """Interface of a sidecar's queue; the policy's ``RunQueue`` implements it."""
 
     @property
     def running(self) -> int:
-        """Calls that run now."""
+        """Number of running calls."""
 
     @property
     def queued(self) -> int:
-        """Calls that wait."""
+        """Number of queued calls."""
 
     @property
     def limit(self) -> int:
-        """Calls that may run at once."""
+        """Maximum number of calls that run at once."""
 
     @property
     def service_s(self) -> float:
-        """Smoothed time of one call, in seconds."""
+        """Smoothed run time of one call, in seconds."""
 
     @property
     def backlog_s(self) -> float:
         """Predicted wait of a new call, in seconds."""
 
     def offer(self, now: float, call: QueuedCall) -> bool:
-        """Queue a call; false when the queue is full."""
+        """Queue a call; return false if the queue is full."""
 
     def next_call(self, now: float) -> QueuedCall | None:
-        """Return a call to start now, or ``None``."""
+        """Return the next call to start now, or ``None``."""
 
     def withdraw(self, call: QueuedCall) -> None:
-        """Remove a call that waits."""
+        """Remove a queued call."""
 
     def dropped(self, now: float) -> list[QueuedCall]:
-        """Return the calls that wait no longer and never started, once."""
+        """Return the calls dropped before their start; each call is returned once."""
 
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
-        """Note that a running call ended, or failed."""
+        """Record that a running call ended, or failed, after ``run_s`` seconds."""
 
     def released(self) -> None:
-        """Note that a running call was cut off."""
+        """Record that a running call was aborted."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One attempt on its way through a sidecar; ``deadline`` as a time stamp."""
+    """One attempt at a sidecar; ``deadline`` is a time on the virtual clock."""
 
     attempt: AttemptId
     account: str
@@ -95,7 +95,7 @@
 
 
 class FakeSidecar:
-    """Does what ``StageHandler`` of the daemon does, without I/O."""
+    """Stands in for the daemon's ``StageHandler``, without I/O."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         self._queued_calls: dict[int, Call] = {}
         self._calls: dict[AttemptId, Call] = {}
         self._records: dict[tuple[str, int], _CallRecord] = {}
-        self._tombstones: set[AttemptId] = set()
+        self._cancelled_attempts: set[AttemptId] = set()
         self._leaving = False
         self._load_lag_s = 0.0
         self._loads: deque[tuple[float, LoadReport]] = deque(maxlen=LOAD_HISTORY)
@@ -126,37 +126,37 @@
 
     @property
     def plan(self) -> EndpointPlan:
-        """Where the endpoint stands."""
+        """The endpoint's id, pool, region and data centre."""
         return self._plan
 
     @property
     def pool(self) -> PoolPlan:
-        """The pool of the endpoint."""
+        """The endpoint's pool."""
         return self._pool
 
     @property
     def endpoint(self) -> FakeEndpoint:
-        """The fake that runs the calls."""
+        """The fake endpoint that runs the calls."""
         return self._endpoint
 
     def delay_load(self, lag_s: float) -> None:
-        """Report the load of ``lag_s`` seconds ago from now on."""
+        """From now on, report the load as it was ``lag_s`` seconds earlier."""
         self._load_lag_s = lag_s
 
-    # Inner protocol
+    # Calls from entries
 
     def load(self) -> LoadReport:
-        """Return the load that a reply carries now."""
+        """Return the load report for a reply sent now, delayed by the load lag."""
         reported_at = self._clock.now - self._load_lag_s
         while len(self._loads) > 1 and self._loads[1][0] <= reported_at:
             self._loads.popleft()
         return self._loads[0][1]
 
     def run(self, call: Call) -> None:
-        """Queue a call, or reply that it was not run."""
+        """Queue a call, or reply that it did not run."""
         now = self._clock.now
         call.arrived = now
-        if call.attempt in self._tombstones or call.deadline <= now:
+        if call.attempt in self._cancelled_attempts or call.deadline <= now:
             self._reply_not_run(call)
             return
         if not call.repeatable and not self._open_record(call):
@@ -172,13 +172,13 @@
         self._note_load()
 
     def cancel(self, attempt: AttemptId) -> None:
-        """Cancel a call; one that may not be repeated runs on once started."""
+        """Cancel a call; an at-most-once call that has started runs on."""
         call = self._calls.get(attempt)
         if call is None:
-            self._tombstones.add(attempt)
+            self._cancelled_attempts.add(attempt)
             return
         if call.run is None and call.queued is not None:
-            self._tombstones.add(attempt)
+            self._cancelled_attempts.add(attempt)
             self._queue.withdraw(call.queued)
             del self._queued_calls[call.queued.serial]
             self._reply_not_run(call)
@@ -190,7 +190,7 @@
         self._note_load()
 
     def query_outcome(self, request_id: str, stage: int, reply: Reply) -> None:
-        """Say what became of a call that may not be repeated, once it has ended."""
+        """Reply with the outcome of an at-most-once call, once it has ended."""
         record = self._records.get((request_id, stage))
         if record is None:
             reply(AttemptResult(AttemptOutcome.UNKNOWN))
@@ -199,7 +199,7 @@
         else:
             record.pending_replies.append(reply)
 
-    # Calls
+    # Running calls
 
     def _open_record(self, call: Call) -> bool:
         key = (call.attempt.request_id, call.attempt.stage)
--- a/packages/operator/src/amaranthtally/operator/replay/simulation.py
+++ b/packages/operator/src/amaranthtally/operator/replay/simulation.py
@@ -1,4 +1,4 @@
-"""One contender on one trace, from the first arrival until every request ended."""
+"""Replays one trace with one contender, until every request has ended."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -26,12 +26,17 @@
 
 __all__ = ["build_pipeline", "replay"]
 
+# Time after the last possible deadline, for the remaining calls to end.
 DRAIN_S = 5.0
 BYTES_PER_GB = 1e9
 
 
 def replay(trace: Trace, contender: Contender) -> ReplayRecorder:
-    """Run a trace; raises ``UnknownActionError`` and ``DoubleEndError``."""
+    """
+    Replay a trace and return its recorded requests.
+
+    Raises ``UnknownActionError`` or ``DoubleEndError`` for a faulty planner.
+    """
     header = trace.header
     clock = VirtualClock()
     recorder = ReplayRecorder()
@@ -61,17 +66,17 @@
     targets = Targets(network, fleet, list(entries.values()))
     schedule_faults(targets, header.faults)
     for arrival in trace.arrivals:
-        arrive = partial(
-            entries[arrival.region].arrive, arrival, pipelines[arrival.pipeline]
+        submit = partial(
+            entries[arrival.region].submit, arrival, pipelines[arrival.pipeline]
         )
-        clock.at(arrival.at, arrive)
-    longest_s = max(plan.deadline_s for plan in header.pipelines)
-    clock.run(header.duration_s + longest_s + DRAIN_S)
+        clock.at(arrival.at, submit)
+    longest_deadline_s = max(plan.deadline_s for plan in header.pipelines)
+    clock.run(header.duration_s + longest_deadline_s + DRAIN_S)
     return recorder
 
 
 def build_pipeline(plan: PipelinePlan, prices: Mapping[str, float]) -> Pipeline:
-    """Return a pipeline as the policy wants it, with the pools' prices."""
+    """Return the policy's ``Pipeline`` for a plan, with the pools' prices."""
     stages = tuple(
         Stage(s.name, s.pool, s.model, s.repeatable, s.streams, prices[s.pool])
         for s in plan.stages
--- a/packages/operator/src/amaranthtally/operator/replay/tables.py
+++ b/packages/operator/src/amaranthtally/operator/replay/tables.py
@@ -1,4 +1,4 @@
-"""Reports as tables in Markdown."""
+"""Renders reports as Markdown tables."""
 
 from collections.abc import Sequence
 
@@ -21,10 +21,10 @@
 
 
 def render_report(report: TraceReport) -> str:
-    """Return one trace's figures, and each contender's cost by stage."""
+    """Return tables of one trace's figures and of the contenders' costs by stage."""
     title = (
         f"{report.trace} (seed {report.seed}): bound {report.bound_attainment:.4f}; "
-        f"scarcest pool {report.bound_pool}, {report.capacity:.1f} calls/s"
+        f"bottleneck pool {report.bound_pool}, {report.capacity:.1f} calls/s"
     )
     pools = sorted({pool for f in report.contenders for pool in f.cost_by_stage})
     costs = [_cost_row(figures, pools) for figures in report.contenders]
@@ -33,7 +33,7 @@
             title,
             "",
             render_table(COLUMNS, [_row(figures) for figures in report.contenders]),
-            "Cost by stage, with its traffic between regions, per answer in time:",
+            "Cost by stage per answer in time, including traffic between regions:",
             "",
             render_table(["contender", *pools], costs),
         ]
@@ -41,7 +41,7 @@
 
 
 def render_summary(reports: Sequence[TraceReport]) -> str:
-    """Return one line a trace: the policy beside the bound and the baselines."""
+    """Return a table of the policy, the bound and the baselines, one row per trace."""
     return render_table(SUMMARY_COLUMNS, [_summary_row(report) for report in reports])
 
 
@@ -93,6 +93,8 @@
 
 
 def render_table(columns: list[str], rows: list[list[str]]) -> str:
-    """Return a table in Markdown."""
-    ruler = ["---"] * len(columns)
-    return "".join(f"| {' | '.join(cells)} |\n" for cells in (columns, ruler, *rows))
+    """Return a Markdown table."""
+    separator = ["---"] * len(columns)
+    return "".join(
+        f"| {' | '.join(cells)} |\n" for cells in (columns, separator, *rows)
+    )
--- a/packages/operator/src/amaranthtally/operator/replay/trace.py
+++ b/packages/operator/src/amaranthtally/operator/replay/trace.py
@@ -1,4 +1,4 @@
-"""Traces: a header with the deployment, seed and faults, then one arrival a line."""
+"""Trace files: a header line with deployment, seed and faults, then arrival lines."""
 
 import gzip
 from enum import Enum
@@ -28,7 +28,7 @@
 
 
 class LatencyPlan(msgspec.Struct, frozen=True):
-    """One-way latencies in seconds; all are constant."""
+    """Constant one-way latencies, in seconds."""
 
     same_data_centre_s: float
     data_centres_s: float
@@ -37,12 +37,13 @@
 
 class PoolPlan(msgspec.Struct, frozen=True):
     """
-    Endpoints of one kind and how long a call takes there.
+    A pool: the kind of its endpoints and the distribution of call times.
 
-    ``service_s`` is the median of a log-normal with ``sigma``. An engine decodes a
-    token in ``token_s`` alone and ``batch_slope`` slower for each neighbour.
-    ``price`` is the cost of one slot for one second. Its cache events come
-    ``event_lag_s`` seconds late, and each ``event_gap``-th never comes.
+    ``service_s`` is the median of a log-normal distribution with ``sigma``. An engine
+    decodes a token of a call that runs alone in ``token_s`` seconds; each other call
+    in the batch adds the fraction ``batch_slope`` of that time. ``price`` is the cost
+    of one slot for one second. Cache events are delivered after ``event_lag_s``
+    seconds, and every ``event_gap``-th event is lost.
     """
 
     name: str
@@ -66,7 +67,7 @@
 
 
 class EndpointPlan(msgspec.Struct, frozen=True):
-    """An endpoint and where it stands."""
+    """An endpoint and its location."""
 
     id: str
     pool: str
@@ -75,7 +76,7 @@
 
 
 class StagePlan(msgspec.Struct, frozen=True):
-    """A stage as the policy's ``Stage`` wants it."""
+    """A stage: the fields of the policy's ``Stage`` but for the price."""
 
     name: str
     pool: str
@@ -86,9 +87,10 @@
 
 class PipelinePlan(msgspec.Struct, frozen=True):
     """
-    A pipeline; its deadline in seconds.
+    A pipeline; ``deadline_s`` is counted from the arrival of a request.
 
-    ``weight_attainment`` goes from 0, where cost counts, to 1, where answers do.
+    ``weight_attainment`` is from 0, where only cost counts, to 1, where only answers
+    in time count.
     """
 
     name: str
@@ -98,7 +100,7 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong."""
+    """Kind of an injected fault."""
 
     SLOW = "slow"
     FAILING = "failing"
@@ -113,8 +115,9 @@
     """
     A fault from ``start_s`` to ``end_s``.
 
-    ``endpoints`` are those it strikes. ``factor`` is how many times slower a call
-    is, how many times more arrivals come, or the lag of load reports in seconds.
+    ``endpoints`` are the affected endpoints. Depending on ``kind``, ``factor``
+    multiplies the time of a call or the rate of arrivals, or it is the lag of load
+    reports in seconds.
     """
 
     kind: FaultKind
@@ -127,7 +130,7 @@
 
 
 class Header(msgspec.Struct, frozen=True):
-    """What a trace was made from; ``policy`` holds fields of ``PolicySettings``."""
+    """Inputs that a trace was made from; ``policy`` overrides ``PolicySettings``."""
 
     deployment: str
     scenario: str
@@ -146,7 +149,7 @@
 
 
 class TraceArrival(msgspec.Struct, frozen=True):
-    """A request at its entry; ``at`` in seconds from the start of the trace."""
+    """Arrival of a request at its entry; ``at`` is seconds from the trace's start."""
 
     at: float
     id: str
@@ -158,14 +161,14 @@
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """A whole trace."""
+    """A trace: its header and its arrivals in order of time."""
 
     header: Header
     arrivals: list[TraceArrival]
 
 
 def read_trace(path: Path) -> Trace:
-    """Read a trace, compressed or not; raises ``TraceError``."""
+    """Read a trace, gzip-compressed or plain; raises ``TraceError``."""
     try:
         raw = path.read_bytes()
         lines = (gzip.decompress(raw) if path.suffix == ".gz" else raw).splitlines()
@@ -180,7 +183,7 @@
 
 
 def write_trace(path: Path, trace: Trace) -> None:
-    """Write a trace; compressed where the name ends in ``.gz``, always alike."""
+    """Write a trace, gzipped if the name ends in ``.gz``; the bytes are reproducible."""
     lines = [msgspec.json.encode(item) for item in (trace.header, *trace.arrivals)]
     raw = b"\n".join(lines) + b"\n"
     path.write_bytes(gzip.compress(raw, mtime=0) if path.suffix == ".gz" else raw)
--- a/packages/operator/src/amaranthtally/operator/replay/work.py
+++ b/packages/operator/src/amaranthtally/operator/replay/work.py
@@ -1,4 +1,4 @@
-"""How much work each stage of each request is, drawn from the trace's seed."""
+"""Draws the work of each stage of each request from the trace's seed."""
 
 import random
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageWork:
-    """One stage's work: seconds alone, and chunks of text where it streams."""
+    """One stage's work: run time alone in seconds; ``tokens`` is 0 if it has none."""
 
     seconds: float
     tokens: int
@@ -20,10 +20,10 @@
 
 class WorkModel:
     """
-    Draws work so that every planner meets the same work on the same trace.
+    Draws work so that all planners get the same work on the same trace.
 
-    Work depends on the seed, the request and the stage; only the rare straggling
-    call depends on the attempt as well.
+    Work depends on the seed, the request and the stage. Whether a call is a straggler
+    depends on the attempt as well.
     """
 
     def __init__(self, seed: int) -> None:
@@ -31,7 +31,7 @@
         self._work_by_stage: dict[tuple[str, int], StageWork] = {}
 
     def stage_work(self, request_id: str, stage: int, pool: PoolPlan) -> StageWork:
-        """Return the work of a stage, without any straggling."""
+        """Return the work of a stage; a straggler's factor is not included."""
         key = (request_id, stage)
         work = self._work_by_stage.get(key)
         if work is None:
@@ -40,15 +40,15 @@
         return work
 
     def is_straggler(self, attempt: AttemptId, pool: PoolPlan) -> bool:
-        """Whether this attempt is one of the pool's rare slow ones."""
+        """Whether this attempt is one of the pool's rare slow calls."""
         if not pool.straggle_rate:
             return False
         name = f"{self._seed}/straggle/{'/'.join(map(str, attempt))}"
         return random.Random(name).random() < pool.straggle_rate
 
     def _draw(self, request_id: str, stage: int, pool: PoolPlan) -> StageWork:
-        drawn_for = (self._seed, "work", request_id, stage)
-        generator = random.Random("/".join(map(str, drawn_for)))
+        seed_parts = (self._seed, "work", request_id, stage)
+        generator = random.Random("/".join(map(str, seed_parts)))
         spread = exp(pool.sigma * generator.gauss(0.0, 1.0))
         tokens = max(1, round(pool.tokens * spread)) if pool.tokens else 0
         if tokens:
