--- a/packages/operator/src/amaranthtally/operator/experiment/__init__.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/__init__.py
@@ -1,4 +1,4 @@
-"""Compares variants of the policy over many seeds, with paired intervals."""
+"""Compares variants of the policy over many seeds by paired confidence intervals."""
 
 from amaranthtally.operator.experiment.command import register
 
--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -1,8 +1,9 @@
 """
-Each decision of the policy in a simpler form, to measure what the decision earns.
+Ablations: the policy with one decision replaced by a simpler form.
 
-An ablation replaces the least that takes the decision away and keeps the rest, so
-that a difference is that decision's own. They are no part of the policy.
+They measure the contribution of each decision. An ablation replaces as little as
+possible, so that a difference from the policy is due to that decision alone. The
+policy itself does not use this module.
 """
 
 from collections.abc import Mapping, Sequence
@@ -62,14 +63,14 @@
 
 
 class EqualShares(StageTimes):
-    """Gives each stage an equal part of what is left, and the last a late end."""
+    """Divides the time left equally among the stages; reserves none for later ones."""
 
     def share_end(self, now: float, deadline: float, stages: Sequence[Stage]) -> float:
-        """Return the end of an equal part."""
+        """Return the end of an equal share of the time left."""
         return now + max(0.0, deadline - now) / len(stages)
 
     def latest_finish(self, deadline: float, later: Sequence[Stage]) -> float:
-        """Return the deadline: nothing is kept for the later stages."""
+        """Return the deadline: no time is reserved for the later stages."""
         return deadline
 
 
@@ -82,19 +83,19 @@
 
 
 class AdmitAll(Admission):
-    """Admits every request."""
+    """Admits every request, after the usual accounting."""
 
     def decide(self, now: float, arrival: Arrival) -> AdmissionDecision:
-        """Admit."""
+        """Return an admission, whatever the policy decides."""
         super().decide(now, arrival)
         return AdmissionDecision()
 
 
 class NoShares(AccountShares):
-    """Knows no share of an account."""
+    """Does not limit accounts to shares of the queue."""
 
     def allowance(self, now: float, account: str) -> float:
-        """Return that the account may use the whole queue."""
+        """Return 1: every account may use the whole queue."""
         super().allowance(now, account)
         return 1.0
 
@@ -113,7 +114,7 @@
 
 
 class RandomRouter(Router):
-    """Sends to any endpoint that takes work."""
+    """Chooses at random among the usable endpoints."""
 
     def __init__(
         self,
@@ -124,43 +125,43 @@
         prefixes: PrefixIndex,
     ) -> None:
         super().__init__(random, groups, loads, ejections, prefixes)
-        self._all_groups = groups
-        self._all_loads = loads
-        self._all_ejections = ejections
+        self._endpoint_groups = groups
+        self._load_table = loads
+        self._ejection_state = ejections
         self._random_source = random
 
     def choose(
         self, now: float, wanted: RouteRequest, stats: StageStats
     ) -> Choice | None:
-        """Return an endpoint drawn at random."""
+        """Return a random usable endpoint, or ``None`` if there is none."""
         usable = self.usable(wanted)
         if not usable:
             return None
         return self.predict(now, wanted, stats, self.pick(usable))
 
     def pick(self, usable: Sequence[Endpoint]) -> Endpoint:
-        """Return one of the endpoints that take work."""
+        """Return a random one of the usable endpoints."""
         return self._random_source.choice(usable)
 
     def usable(self, wanted: RouteRequest) -> list[Endpoint]:
-        """Return the endpoints that take work."""
+        """Return the endpoints that are neither excluded, ejected nor leaving."""
         return [
             endpoint
-            for group in self._all_groups.candidates(wanted.stage).values()
+            for group in self._endpoint_groups.candidates(wanted.stage).values()
             for endpoint in group
             if endpoint.id not in wanted.excluded
-            and not self._all_ejections.is_ejected(endpoint.id)
-            and not self._all_loads.get_or_create(endpoint).leaving
+            and not self._ejection_state.is_ejected(endpoint.id)
+            and not self._load_table.get_or_create(endpoint).leaving
         ]
 
 
 class LeastOutstandingRouter(RandomRouter):
-    """Sends to the endpoint with the fewest of this entry's own attempts."""
+    """Chooses the endpoint with the fewest outstanding attempts of this entry."""
 
     def pick(self, usable: Sequence[Endpoint]) -> Endpoint:
-        """Return the one with the fewest, drawn among equals."""
+        """Return an endpoint with the fewest attempts; ties are broken at random."""
         counts = [
-            self._all_loads.get_or_create(endpoint).outstanding for endpoint in usable
+            self._load_table.get_or_create(endpoint).outstanding for endpoint in usable
         ]
         fewest = min(counts)
         equal = [e for e, n in zip(usable, counts, strict=True) if n == fewest]
@@ -168,7 +169,7 @@
 
 
 class ReportedLoad(EndpointLoad):
-    """Believes the last report, and leaves this entry's own attempts out."""
+    """Uses the last load report alone and ignores this entry's own attempts."""
 
     __slots__ = ("_reported",)
 
@@ -177,11 +178,11 @@
         self._reported = 0.0
 
     def occupancy(self, now: float) -> float:
-        """Return the calls that the last report told of."""
+        """Return the number of running and queued calls in the last report."""
         return self._reported
 
     def apply_report(self, now: float, report: LoadReport) -> None:
-        """Take a report as if it were of now."""
+        """Apply a report as if it were current."""
         super().apply_report(now, report)
         self._reported = float(report.running + report.queued)
 
@@ -205,7 +206,7 @@
 
 
 class ArrivalOrderQueue(RunQueue):
-    """Runs calls in the order of arrival and drops none."""
+    """Runs calls in order of arrival and drops none."""
 
     def offer(self, now: float, call: QueuedCall) -> bool:
         """Queue a call as if it had no priority and no deadline."""
@@ -213,10 +214,10 @@
 
 
 class ConstantLimitQueue(RunQueue):
-    """Runs as many calls whether they fail or not."""
+    """Keeps the concurrency limit constant when calls fail."""
 
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
-        """Note that a call ended; a failure leaves the limit as it is."""
+        """Record that a call ended; a failure does not change the limit."""
         if failed:
             self.released()
         else:
--- a/packages/operator/src/amaranthtally/operator/experiment/command.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/command.py
@@ -48,28 +48,30 @@
     """
     Compare variants of the policy on the same traces, over several seeds.
 
-    Exits with 2 where the plan or a deployment cannot be used.
+    Exits with 2 if the plan or a deployment cannot be used.
 
     Parameters
     ----------
     plan
         TOML file that names deployments, scenarios, seeds and variants.
     deployment
-        Only this deployment of the plan, by its file's name; may be repeated.
+        Run only this deployment of the plan, by its file's name; may be repeated.
     scenario
-        Only this scenario of the plan; may be repeated.
+        Run only this scenario of the plan; may be repeated.
     out
-        Directory for the result as JSON and as a table; named like the plan.
+        Directory for the result as JSON and as a table, in files named like the plan.
     workers
-        Processes that replay traces side by side.
+        Number of processes that replay traces in parallel.
     """
     try:
-        read = narrow_plan(plan, read_plan(plan), deployment or [], scenario or [])
-        observations = _observe(read, workers)
+        selected_plan = narrow_plan(
+            plan, read_plan(plan), deployment or [], scenario or []
+        )
+        observations = _observe(selected_plan, workers)
     except (PlanError, TraceError) as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
-    result = summarize(read, observations)
+    result = summarize(selected_plan, observations)
     table = render_result(result)
     sys.stdout.write(table)
     if out is not None:
@@ -81,8 +83,8 @@
     total = len(plan_trials(plan))
     observations: list[Observation] = []
     with interruptible(), closing(run_trials(plan, workers)) as running:
-        for done, found in enumerate(running, start=1):
-            observations.extend(found)
+        for done, trace_observations in enumerate(running, start=1):
+            observations.extend(trace_observations)
             sys.stderr.write(f"\r{done}/{total} traces")
     sys.stderr.write("\n")
     return observations
--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -18,8 +18,8 @@
 )
 from amaranthtally.operator.experiment.day_tables import (
     plot_differences,
+    render_broken_promises,
     render_comparisons,
-    render_violations,
 )
 from amaranthtally.operator.experiment.trial_log import DayTrial, TrialLog
 from amaranthtally.operator.experiment.workers import interruptible
@@ -37,12 +37,12 @@
 
 __all__ = ["add_day_commands"]
 
-EXIT_VIOLATION = 1
+EXIT_BROKEN_PROMISE = 1
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
 MAIN_FIGURE = "worth"
 TRIAL_LOG_NAME = "days.jsonl"
-# Drawn days that are searched are short: what breaks shows soon after a fault.
+# A search uses short days, because violations appear soon after a fault.
 SEARCH_S = 16.0
 DAY_S = 24.0
 
@@ -58,12 +58,12 @@
 
 def draw(*, seed: int, out: Path) -> int:
     """
-    Write a deployment and a day that are drawn from a seed.
+    Write a randomly drawn deployment and its day to a file.
 
     Parameters
     ----------
     seed
-        The same seed gives the same file.
+        Seed of the draw; the same seed gives the same file.
     out
         TOML file to write.
     """
@@ -82,110 +82,114 @@
     out: Path,
 ) -> int:
     """
-    Play variants of the policy on the same days, and compare them pair by pair.
+    Simulate variants of the policy on the same days and compare them in pairs.
 
-    Days that the directory has already are not played again; after Ctrl-C the same
-    command goes on. Exits with 1 where a promise was broken, 2 where a file or a
-    variant cannot be used, 130 after Ctrl-C.
+    Days that the output directory already has are not simulated again, so the same
+    command continues after Ctrl-C. Exits with 1 if the policy broke a promise, 2 if a
+    file or a variant cannot be used, and 130 after Ctrl-C.
 
     Parameters
     ----------
     files
-        Deployments as TOML.
+        Deployment files in TOML.
     drawn
-        As many drawn deployments beside them.
+        Number of randomly drawn deployments to add.
     first
-        Seed of the first drawn one.
+        Seed of the first drawn deployment; the next ones count up.
     seconds
-        How long requests come on drawn days.
+        Duration of the arrivals on drawn days.
     variants
-        Variants to compare with the policy; all of them where left out.
+        Variants to compare with the policy; all variants if left out.
     seeds
-        Days of each deployment.
+        Number of days, each with its own seed, for each deployment.
     jobs
-        Processes that play days side by side.
+        Number of processes that simulate days in parallel.
     out
-        Directory for the days, the table, the plot and the result as JSON.
+        Directory for the log of days, the table, the plot and the result as JSON.
     """
     try:
         deployments = _deployments(files, range(first, first + drawn), seconds)
-        chosen = _select_variants(variants)
+        selected = _select_variants(variants)
     except DeploymentError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
     out.mkdir(parents=True, exist_ok=True)
-    wanted = day_jobs(deployments, range(1, seeds + 1), chosen)
+    requested_jobs = day_jobs(deployments, range(1, seeds + 1), selected)
     with interruptible():
-        days, was_interrupted = _play(wanted, out, jobs)
+        days, was_interrupted = _play(requested_jobs, out, jobs)
     _write(out, days)
-    sys.stdout.write(render_violations(days))
+    sys.stdout.write(render_broken_promises(days))
     if was_interrupted:
         return EXIT_INTERRUPTED
-    return EXIT_VIOLATION if _policy_has_violations(days) else 0
+    return EXIT_BROKEN_PROMISE if _policy_broke_promise(days) else 0
 
 
 def search(*, days: Count = 50, first: int = 1, jobs: Count = 2) -> int:
     """
-    Play short drawn days of the policy, and report each promise that is broken.
+    Simulate the policy on short, randomly drawn days and report broken promises.
 
-    Exits with 1 where one was.
+    Exits with 1 if a promise was broken.
 
     Parameters
     ----------
     days
-        How many days.
+        Number of days.
     first
-        Seed of the first one.
+        Seed of the first day; the next ones count up.
     jobs
-        Processes that play days side by side.
+        Number of processes that simulate days in parallel.
     """
     drawn = [draw_deployment(first + n, seconds=SEARCH_S) for n in range(days)]
-    wanted = day_jobs(drawn, [1], [POLICY.name])
-    found: dict[DayTrial, Day] = {}
+    requested_jobs = day_jobs(drawn, [1], [POLICY.name])
+    finished: dict[DayTrial, Day] = {}
     console = Console(stderr=True)
-    with interruptible(), closing(play_days(wanted, jobs)) as playing:
-        for played in track(playing, total=len(wanted), console=console):
-            found[played.trial] = played.day
-    sys.stdout.write(render_violations(found))
-    broken = sum(bool(day.broken) for day in found.values())
-    sys.stdout.write(f"{len(found)} days, {broken} broke a promise\n")
-    return EXIT_VIOLATION if broken else 0
+    with interruptible(), closing(play_days(requested_jobs, jobs)) as playing:
+        for played in track(playing, total=len(requested_jobs), console=console):
+            finished[played.trial] = played.day
+    sys.stdout.write(render_broken_promises(finished))
+    broken = sum(bool(day.broken) for day in finished.values())
+    sys.stdout.write(f"{len(finished)} days, {broken} broke a promise\n")
+    return EXIT_BROKEN_PROMISE if broken else 0
 
 
 def _deployments(
     files: tuple[Path, ...], drawn: range, seconds: float
 ) -> list[Deployment]:
-    read = [read_deployment(path) for path in files]
-    for path, deployment in zip(files, read, strict=True):
+    from_files = [read_deployment(path) for path in files]
+    for path, deployment in zip(files, from_files, strict=True):
         check_faults(path, deployment)
-    found = read + [draw_deployment(seed, seconds) for seed in drawn]
-    if not found:
-        remedy = "name files or give --drawn"
-        raise DeploymentError("experiment run", "there is no deployment", remedy)
-    return found
+    deployments = from_files + [draw_deployment(seed, seconds) for seed in drawn]
+    if not deployments:
+        remedy = "name deployment files or give --drawn"
+        raise DeploymentError("experiment run", "no deployment is given", remedy)
+    return deployments
 
 
 def _select_variants(names: list[str] | None) -> list[str]:
     known = variant_names()
-    wanted = names or known
-    for name in wanted:
+    selected = names or known
+    for name in selected:
         check_known("experiment run", "--variants", name, known)
-    return [POLICY.name, *(name for name in wanted if name != POLICY.name)]
+    return [POLICY.name, *(name for name in selected if name != POLICY.name)]
 
 
 def _play(
-    wanted: list[DayJob], out: Path, workers: int
+    requested_jobs: list[DayJob], out: Path, workers: int
 ) -> tuple[dict[DayTrial, Day], bool]:
-    """Play what the directory lacks; return all days, and whether it was cut short."""
+    """Simulate the missing days; return all days and whether it was interrupted."""
     log = TrialLog(out / TRIAL_LOG_NAME)
-    before = log.read()
-    days = {job.trial: before[job.trial] for job in wanted if job.trial in before}
-    missing = [job for job in wanted if job.trial not in days]
+    logged_days = log.read()
+    days = {
+        job.trial: logged_days[job.trial]
+        for job in requested_jobs
+        if job.trial in logged_days
+    }
+    missing = [job for job in requested_jobs if job.trial not in days]
     with (
         Progress(console=Console(stderr=True)) as progress,
         closing(play_days(missing, workers)) as playing,
     ):
-        task = progress.add_task("days", total=len(wanted), completed=len(days))
+        task = progress.add_task("days", total=len(requested_jobs), completed=len(days))
         try:
             for played in playing:
                 log.add(played)
@@ -207,7 +211,7 @@
         plot_differences(comparisons, MAIN_FIGURE, out / "differences.svg")
 
 
-def _policy_has_violations(days: dict[DayTrial, Day]) -> bool:
+def _policy_broke_promise(days: dict[DayTrial, Day]) -> bool:
     return any(
         day.broken for trial, day in days.items() if trial.variant == POLICY.name
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -1,4 +1,4 @@
-"""Plays days side by side, and compares variants pair by pair."""
+"""Simulates days in parallel processes and compares variants on the same days."""
 
 from collections.abc import Generator, Iterable, Mapping, Sequence
 from concurrent.futures import as_completed
@@ -21,7 +21,11 @@
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """A figure of a variant, and its difference to the reference, each ± half."""
+    """
+    A figure of a variant and its mean paired difference from the reference.
+
+    ``half`` is half the width of the 95% interval of ``difference``.
+    """
 
     variant: str
     figure: str
@@ -32,12 +36,12 @@
 
     @property
     def excludes_zero(self) -> bool:
-        """Whether the interval of the difference leaves out 0."""
+        """Whether the interval of the difference excludes 0."""
         return Interval(self.difference, self.half).excludes_zero
 
 
 class DayJob(NamedTuple):
-    """A day to be played, and its deployment."""
+    """A day to simulate and its deployment."""
 
     trial: DayTrial
     deployment: Deployment
@@ -46,7 +50,7 @@
 def day_jobs(
     deployments: Iterable[Deployment], seeds: Iterable[int], variants: Sequence[str]
 ) -> list[DayJob]:
-    """Return each day that an experiment plays, those of one pair side by side."""
+    """Return all days of an experiment; the variants of a day follow one another."""
     return [
         DayJob(DayTrial(deployment.name, digest, seed, name), deployment)
         for deployment in deployments
@@ -58,9 +62,10 @@
 
 def play_days(jobs: Sequence[DayJob], workers: int) -> Generator[PlayedDay, None, None]:
     """
-    Yield days as they are played, in any order.
+    Yield simulated days in the order in which they finish.
 
-    Closed early, as by Ctrl-C, it plays none of those that have not begun.
+    If the generator is closed early, as after Ctrl-C, the days that have not started
+    are not simulated.
     """
     if workers <= 1:
         yield from map(_play, jobs)
@@ -105,7 +110,7 @@
         return None
     variant_values = [float(getattr(played[key], figure)) for key in keys]
     reference_values = [float(getattr(reference_days[key], figure)) for key in keys]
-    found = paired_difference(variant_values, reference_values)
+    difference = paired_difference(variant_values, reference_values)
     return Comparison(
-        name, figure, fmean(variant_values), found.mean, found.half, len(keys)
+        name, figure, fmean(variant_values), difference.mean, difference.half, len(keys)
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
@@ -1,4 +1,4 @@
-"""Tables and plots of days that variants of the policy were played on."""
+"""Tables and plots that compare variants of the policy on simulated days."""
 
 from collections.abc import Mapping, Sequence
 from pathlib import Path
@@ -9,14 +9,14 @@
 from amaranthtally.operator.experiment.trial_log import DayTrial
 from amaranthtally.simulator.days import Day
 
-__all__ = ["plot_differences", "render_violations", "render_comparisons"]
+__all__ = ["plot_differences", "render_broken_promises", "render_comparisons"]
 
 HEIGHT_PER_VARIANT_IN = 0.28
 WIDTH_IN = 8.0
 
 
 def render_comparisons(comparisons: Sequence[Comparison], figure: str) -> str:
-    """Return a Markdown table of one figure, the largest loss first."""
+    """Return a Markdown table of one figure, sorted by difference in rising order."""
     rows = [comparison for comparison in comparisons if comparison.figure == figure]
     rows.sort(key=lambda comparison: comparison.difference)
     lines = [
@@ -33,12 +33,12 @@
     return "\n".join(lines) + "\n"
 
 
-def render_violations(days: Mapping[DayTrial, Day]) -> str:
-    """Return a line for each promise that was broken."""
+def render_broken_promises(days: Mapping[DayTrial, Day]) -> str:
+    """Return one line for each broken promise."""
     lines = [
-        f"{trial.deployment} seed {trial.seed} {trial.variant}: {violation}"
+        f"{trial.deployment} seed {trial.seed} {trial.variant}: {promise}"
         for trial, day in days.items()
-        for violation in day.broken
+        for promise in day.broken
     ]
     return "\n".join(lines) + "\n" if lines else ""
 
@@ -46,7 +46,7 @@
 def plot_differences(
     comparisons: Sequence[Comparison], figure: str, path: Path
 ) -> None:
-    """Write a plot of each variant's difference and its interval, PNG or SVG."""
+    """Write a plot of each variant's difference and its interval, as PNG or SVG."""
     rows = [comparison for comparison in comparisons if comparison.figure == figure]
     rows.sort(key=lambda comparison: comparison.difference, reverse=True)
     height = 1.0 + HEIGHT_PER_VARIANT_IN * len(rows)
--- a/packages/operator/src/amaranthtally/operator/experiment/plan.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/plan.py
@@ -1,4 +1,4 @@
-"""Plans of experiments, read from TOML and checked before anything runs."""
+"""Experiment plans, read from TOML and validated before any trial runs."""
 
 import tomllib
 from collections import Counter
@@ -27,7 +27,7 @@
 DEFAULT_FIGURES = [
     *("attainment", "admitted_attainment", "cost_per_answer", "wasted_share"),
 ]
-# Known from the trace or needed by the replay: a plan can't set them.
+# A plan cannot set these: the trace defines them or the replay needs them.
 FIXED_SETTINGS = frozenset(
     {"revision", "region", "data_centre", "endpoints", "accounts", "entries"}
 )
@@ -35,12 +35,12 @@
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    What an experiment runs: each variant on each deployment, scenario and seed.
+    An experiment: each variant runs on each deployment, scenario and seed.
 
-    Paths of ``deployments`` start at the plan's directory. ``scenarios`` and
-    ``variants`` left out mean all of them. ``settings`` defines further variants:
-    a name, and values of ``PolicySettings``. With ``baselines`` the figures that
-    compare with the best baseline are there too.
+    Paths in ``deployments`` are relative to the plan's directory. ``scenarios`` and
+    ``variants`` default to all. ``settings`` defines additional variants: it maps a
+    name to values of ``PolicySettings``. With ``baselines``, the baselines run as well,
+    so that the figures relative to the best baseline are available.
     """
 
     deployments: list[Path]
@@ -54,22 +54,22 @@
 
     @property
     def compared_variants(self) -> list[str]:
-        """The reference, then the variants and those that ``settings`` define."""
+        """The reference, then ``variants``, then the variants from ``settings``."""
         others = [*self.variants, *self.settings]
         return [self.reference, *(n for n in others if n != self.reference)]
 
 
 def read_plan(path: Path) -> Plan:
-    """Read and check a plan; raises ``PlanError``."""
+    """Read and validate a plan; raises ``PlanError``."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
         plan = msgspec.convert(table, type=Plan, dec_hook=_to_path)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         remedy = "'Experiments' in docs/DESIGN.md lists the keys of a plan"
         raise PlanError(path, str(error), remedy) from error
-    found = [path.parent / deployment for deployment in plan.deployments]
-    plan = msgspec.structs.replace(plan, deployments=found)
-    _check(path, plan)
+    deployments = [path.parent / deployment for deployment in plan.deployments]
+    plan = msgspec.structs.replace(plan, deployments=deployments)
+    _validate(path, plan)
     return plan
 
 
@@ -77,13 +77,14 @@
     path: Path, plan: Plan, deployments: Sequence[str], scenarios: Sequence[str]
 ) -> Plan:
     """
-    Return a part of a plan; an empty list leaves all of them in.
+    Return a plan restricted to some deployments and scenarios.
 
-    Deployments go by their file's name without its ending. Raises ``PlanError``.
+    An empty list selects all. A deployment's name is its file's name without the
+    suffix. Raises ``PlanError`` for an unknown name.
     """
     stems = [deployment.stem for deployment in plan.deployments]
-    _check_known(path, "deployment", deployments, stems)
-    _check_known(path, "scenario", scenarios, plan.scenarios)
+    _check_names(path, "deployment", deployments, stems)
+    _check_names(path, "scenario", scenarios, plan.scenarios)
     return msgspec.structs.replace(
         plan,
         deployments=[d for d in plan.deployments if d.stem in (deployments or stems)],
@@ -92,7 +93,7 @@
 
 
 def plan_variants(plan: Plan) -> list[Variant]:
-    """Return the plan's subjects, ready to run."""
+    """Return the plan's compared variants, ready to run."""
     return [
         settings_variant(name, plan.settings[name])
         if name in plan.settings
@@ -107,11 +108,11 @@
     raise NotImplementedError(f"{kind.__name__} from {value!r}")
 
 
-def _check(path: Path, plan: Plan) -> None:
-    _check_known(path, "scenario", plan.scenarios, scenario_names())
-    _check_known(path, "figure", plan.figures, TraceReport.outcome_figure_names())
+def _validate(path: Path, plan: Plan) -> None:
+    _check_names(path, "scenario", plan.scenarios, scenario_names())
+    _check_names(path, "figure", plan.figures, TraceReport.outcome_figure_names())
     names = [*variant_names(), *plan.settings]
-    _check_known(path, "variant", [plan.reference, *plan.variants], names)
+    _check_names(path, "variant", [plan.reference, *plan.variants], names)
     _check_settings(path, plan.settings)
     _check_unique(path, "deployment", plan.deployments)
     _check_unique(path, "scenario", plan.scenarios)
@@ -119,17 +120,17 @@
     _check_unique(path, "variant", [*plan.variants, *plan.settings])
     for deployment in plan.deployments:
         if not deployment.is_file():
-            remedy = "name deployment files as seen from the plan's directory"
+            remedy = "name deployment files relative to the plan's directory"
             raise PlanError(path, f"no file {deployment}", remedy)
     if len(plan.seeds) < MIN_SEEDS:
         detail = f"{len(plan.seeds)} seeds give no interval"
-        raise PlanError(path, detail, f"name {MIN_SEEDS} or more, better ten")
+        raise PlanError(path, detail, f"name {MIN_SEEDS} or more, preferably ten")
     if not (plan.deployments and plan.scenarios and plan.figures):
         detail = "deployments, scenarios or figures is empty"
-        raise PlanError(path, detail, "name one of each or more")
+        raise PlanError(path, detail, "name one or more of each")
 
 
-def _check_known(
+def _check_names(
     path: Path, kind: str, names: Iterable[str], known: Sequence[str]
 ) -> None:
     unknown = sorted(set(names) - set(known))
@@ -141,8 +142,10 @@
 def _check_unique(path: Path, kind: str, values: Sequence[object]) -> None:
     duplicates = [str(value) for value, n in Counter(values).items() if n > 1]
     if duplicates:
-        detail = f"{kind} {', '.join(duplicates)} stands twice"
-        raise PlanError(path, detail, "name each once: one counted twice narrows")
+        detail = f"{kind} {', '.join(duplicates)} is listed more than once"
+        raise PlanError(
+            path, detail, "name each once: a duplicate makes the intervals too narrow"
+        )
 
 
 def _check_settings(path: Path, settings: Mapping[str, Mapping[str, Any]]) -> None:
@@ -153,8 +156,8 @@
     for name, values in settings.items():
         if name in variant_names():
             remedy = "give the table of settings another name"
-            raise PlanError(path, f"variant {name} exists already", remedy)
-        _check_known(path, f"setting of {name}", values, free)
+            raise PlanError(path, f"variant {name} already exists", remedy)
+        _check_names(path, f"setting of {name}", values, free)
         for key, value in values.items():
             if type(value) not in (int, float) or value < 0:
                 detail = f"{key} of {name} is {value!r}"
--- a/packages/operator/src/amaranthtally/operator/experiment/results.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/results.py
@@ -1,4 +1,4 @@
-"""Observations of all seeds as means and paired differences."""
+"""Summarizes the observations of all seeds as means and paired differences."""
 
 from collections.abc import Iterable, Sequence
 from statistics import fmean
@@ -23,9 +23,10 @@
     """
     One figure of one variant over all seeds of a scenario.
 
-    ``half`` is half of the mean's 95% interval. ``difference`` is from the
-    reference, paired by seed, with ``difference_half``; ``clear`` says that its
-    interval leaves 0 out. ``values`` are by seed, in the plan's order.
+    ``half`` is half the width of the 95% interval of ``mean``. ``difference`` is the
+    mean difference from the reference, paired by seed; ``difference_half`` is half
+    the width of its interval, and ``clear`` is true if that interval excludes 0.
+    ``values`` has one value per seed, in the plan's order.
     """
 
     deployment: str
@@ -41,7 +42,7 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What an experiment showed."""
+    """Result of an experiment, as it is written to JSON."""
 
     reference: str
     variants: list[str]
@@ -51,7 +52,7 @@
     def find(
         self, deployment: str, scenario: str, variant: str, figure: str
     ) -> Comparison:
-        """Return a comparison; raises ``StopIteration`` where there is none."""
+        """Return a comparison; raises ``StopIteration`` if there is none."""
         key = (deployment, scenario, variant, figure)
         return next(
             c
@@ -66,7 +67,7 @@
 
     @property
     def scenarios(self) -> list[str]:
-        """Scenarios in the plan's order, the mean of all of them first."""
+        """``ALL_SCENARIOS`` for the mean, then the scenarios in the plan's order."""
         return list(dict.fromkeys(c.scenario for c in self.comparisons))
 
     @property
@@ -76,7 +77,7 @@
 
 
 def summarize(plan: Plan, observations: Iterable[Observation]) -> Result:
-    """Return the result of a plan whose traces all ran."""
+    """Return the result of a plan from the observations of all its traces."""
     table = _ObservationTable(plan, observations)
     scenarios = [ALL_SCENARIOS, *plan.scenarios]
     comparisons = [
@@ -106,9 +107,11 @@
     def compare(
         self, deployment: str, scenario: str, variant: str, figure: str
     ) -> Comparison:
-        """Return one figure of one variant beside the reference."""
-        values = self._by_seed(deployment, scenario, variant, figure)
-        reference = self._by_seed(deployment, scenario, self._plan.reference, figure)
+        """Return one figure of one variant, compared with the reference."""
+        values = self._values_by_seed(deployment, scenario, variant, figure)
+        reference = self._values_by_seed(
+            deployment, scenario, self._plan.reference, figure
+        )
         mean = _rounded(estimate(values))
         difference = _rounded(paired_difference(values, reference))
         return Comparison(
@@ -124,10 +127,10 @@
             values=[round(value, DIGITS) for value in values],
         )
 
-    def _by_seed(
+    def _values_by_seed(
         self, deployment: str, scenario: str, variant: str, figure: str
     ) -> Sequence[float]:
-        """Return a figure by seed; its mean over the scenarios for all of them."""
+        """Return a figure per seed, or its mean per seed for ``ALL_SCENARIOS``."""
         scenarios = self._plan.scenarios if scenario == ALL_SCENARIOS else [scenario]
         return [
             fmean(
--- a/packages/operator/src/amaranthtally/operator/experiment/tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/tables.py
@@ -1,4 +1,4 @@
-"""Results as tables in Markdown."""
+"""Renders results as Markdown tables."""
 
 from amaranthtally.operator.experiment.ablations import ablations
 from amaranthtally.operator.experiment.results import Comparison, Result
@@ -6,17 +6,17 @@
 
 __all__ = ["render_result"]
 
-CLEAR = "**"
+BOLD = "**"
 NONE = "-"
 
 
 def render_result(result: Result) -> str:
-    """Return a table for each deployment and figure: variants by scenario."""
+    """Return a table of variants by scenario for each deployment and figure."""
     seeds = ", ".join(map(str, result.seeds))
     intro = (
-        f"Seeds {seeds}. First row: mean of `{result.reference}` and half of its 95% "
-        "interval; below: difference from it, paired by seed; bold where 0 is outside "
-        "of the interval."
+        f"Seeds {seeds}. First row: mean of `{result.reference}` ± half its 95% "
+        "interval; rows below: difference from it, paired by seed, in bold if its "
+        "interval excludes 0."
     )
     parts = [intro, ""]
     for deployment in result.deployments:
@@ -30,19 +30,19 @@
 def _table(result: Result, deployment: str, figure: str) -> str:
     rows = []
     for variant in result.variants:
-        found = [
+        comparisons = [
             result.find(deployment, scenario, variant, figure)
             for scenario in result.scenarios
         ]
         is_reference = variant == result.reference
-        cells = [_mean(c) if is_reference else _difference(c) for c in found]
+        cells = [_mean(c) if is_reference else _difference(c) for c in comparisons]
         rows.append([_decision(variant), variant, *cells])
     return render_table(["decision", "variant", *result.scenarios], rows)
 
 
 def _decision(variant: str) -> str:
-    replaced = ablations().get(variant)
-    return NONE if replaced is None else f"{replaced.number}, {replaced.name}"
+    decision = ablations().get(variant)
+    return NONE if decision is None else f"{decision.number}, {decision.name}"
 
 
 def _mean(comparison: Comparison) -> str:
@@ -51,4 +51,4 @@
 
 def _difference(comparison: Comparison) -> str:
     text = f"{comparison.difference:+.4f} ±{comparison.difference_half:.4f}"
-    return f"{CLEAR}{text}{CLEAR}" if comparison.clear else text
+    return f"{BOLD}{text}{BOLD}" if comparison.clear else text
--- a/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
@@ -1,4 +1,4 @@
-"""Days that were played, a line each in a file, so that an experiment can go on."""
+"""Log of simulated days, one per line, from which an experiment can resume."""
 
 from collections.abc import Iterator
 from hashlib import blake2b
@@ -16,7 +16,7 @@
 
 
 class DayTrial(msgspec.Struct, frozen=True):
-    """One day to be played: a deployment by its digest, a seed and a variant."""
+    """One day to simulate: a deployment with its digest, a seed and a variant."""
 
     deployment: str
     digest: str
@@ -25,25 +25,25 @@
 
 
 class PlayedDay(msgspec.Struct, frozen=True):
-    """A trial and what came of it."""
+    """A trial and the result of its day."""
 
     trial: DayTrial
     day: Day
 
 
 class TrialLog:
-    """Keeps played days in a file that is only ever added to."""
+    """Append-only file of played days in JSON Lines format."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._decode = msgspec.json.Decoder(PlayedDay)
 
     def read(self) -> dict[DayTrial, Day]:
-        """Return the days that were played before; a line cut short is left out."""
+        """Return the logged days; incomplete lines are ignored."""
         return {played.trial: played.day for played in self._lines()}
 
     def add(self, played: PlayedDay) -> None:
-        """Add a played day, on a line of its own also after one cut short."""
+        """Append a played day on a new line, even if the last line is incomplete."""
         line = msgspec.json.encode(played) + b"\n"
         with self._path.open("ab") as file:
             file.write(line if self._ends_with_newline() else b"\n" + line)
@@ -63,11 +63,11 @@
             try:
                 yield self._decode.decode(line)
             except msgspec.DecodeError:
-                # The last one, where the process was killed as it wrote.
+                # The line is incomplete: the process was killed while writing it.
                 continue
 
 
 def deployment_digest(deployment: Deployment) -> str:
-    """Return what tells a deployment from every other one."""
+    """Return a digest that identifies the content of a deployment."""
     encoded = msgspec.json.encode(deployment)
     return blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
--- a/packages/operator/src/amaranthtally/operator/experiment/trials.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trials.py
@@ -1,4 +1,4 @@
-"""Every variant of a plan on one trace, and all traces in a few processes."""
+"""Replays every variant of a plan on each trace, in parallel processes."""
 
 from collections.abc import Generator
 from dataclasses import dataclass
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Trial:
-    """One trace of a plan."""
+    """One trace of a plan, on which all variants run."""
 
     deployment: Path
     scenario: str
@@ -35,7 +35,7 @@
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """What one variant showed on one trace."""
+    """Figures of one variant on one trace."""
 
     deployment: str
     scenario: str
@@ -45,7 +45,7 @@
 
 
 def plan_trials(plan: Plan) -> list[Trial]:
-    """Return every trace of a plan, in the plan's order."""
+    """Return all trials of a plan, in the plan's order."""
     return [
         Trial(deployment, scenario, seed)
         for deployment in plan.deployments
@@ -58,8 +58,8 @@
     """
     Yield the observations of each trace in the plan's order.
 
-    A replay is one thread of pure computation, so that traces run side by side in
-    processes. What comes out does not depend on ``workers``.
+    A replay is single-threaded computation, so traces run in parallel processes.
+    The observations do not depend on ``workers``.
     """
     run = partial(run_trial, plan)
     trials = plan_trials(plan)
@@ -76,15 +76,15 @@
     bound = clairvoyant_bound(trace)
     names = baseline_names() if plan.baselines else []
     baselines = [_figures(trace, get_variant(name), bound) for name in names]
-    observed = []
+    observations = []
     for variant in plan_variants(plan):
         figures = _figures(trace, variant, bound)
-        subject = msgspec.structs.replace(figures, contender=POLICY)
-        others = [f for f in baselines if f.contender != variant.name]
+        policy_figures = msgspec.structs.replace(figures, contender=POLICY)
+        other_baselines = [f for f in baselines if f.contender != variant.name]
         header = trace.header
         name = f"{header.deployment}-{header.scenario}"
-        report = build_report(name, header, bound, [subject, *others])
-        observed.append(
+        report = build_report(name, header, bound, [policy_figures, *other_baselines])
+        observations.append(
             Observation(
                 deployment=trace.header.deployment,
                 scenario=trial.scenario,
@@ -93,7 +93,7 @@
                 figures=report.outcome_figures(),
             )
         )
-    return observed
+    return observations
 
 
 def _figures(trace: Trace, variant: Variant, bound: Bound) -> Figures:
--- a/packages/operator/src/amaranthtally/operator/experiment/variants.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/variants.py
@@ -1,4 +1,4 @@
-"""Variants of the policy by name, in a registry that decorators fill."""
+"""Variants of the policy by name; a decorator registers the ablations."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A contender, and what it changes in the header of each trace."""
+    """A contender and the function that adapts each trace's header for it."""
 
     name: str
     contender: Contender
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One of the decisions that make up the policy, by its number in the aims."""
+    """One of the policy's decisions; ``number`` is its number in the project's aims."""
 
     number: int
     name: str
@@ -81,7 +81,7 @@
 def ablation(
     name: str, decision: Decision
 ) -> Callable[[Callable[[], Ablation]], Callable[[], Ablation]]:
-    """Register what a function returns as an ablation of a decision."""
+    """Register the ablation that the decorated function returns."""
 
     def register(build: Callable[[], Ablation]) -> Callable[[], Ablation]:
         _ABLATIONS[name] = _RegisteredAblation(decision, build())
@@ -98,17 +98,17 @@
 
 
 def baseline_names() -> list[str]:
-    """Return the names of the baselines that ``replay`` has too."""
+    """Return the names of the baselines of the command ``replay``."""
     return [name for name in contender_names() if name != POLICY]
 
 
 def variant_names() -> list[str]:
-    """Return every name that a plan can use without a table of its own."""
+    """Return the names of all variants that a plan need not define itself."""
     return [*contender_names(), *_ABLATIONS]
 
 
 def get_variant(name: str) -> Variant:
-    """Return an ablation, a baseline or the policy; raises ``KeyError``."""
+    """Return an ablation, a baseline or the policy by name; raises ``KeyError``."""
     ablation_entry = _ABLATIONS.get(name)
     if ablation_entry is None:
         return Variant(name, get_contender(name), _same_header)
@@ -118,12 +118,12 @@
 
 
 def settings_variant(name: str, values: Mapping[str, Any]) -> Variant:
-    """Return the policy under other values of ``PolicySettings``."""
+    """Return the policy as a variant with other values of ``PolicySettings``."""
     return Variant(name, get_contender(POLICY), settings_adapter(values))
 
 
 def settings_adapter(values: Mapping[str, Any]) -> AdaptHeader:
-    """Return what gives a header's policy other settings."""
+    """Return a function that overrides policy settings in a header."""
 
     def adapt(header: Header) -> Header:
         return msgspec.structs.replace(header, policy=header.policy | dict(values))
--- a/packages/operator/src/amaranthtally/operator/experiment/workers.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/workers.py
@@ -1,4 +1,4 @@
-"""Processes that do a command's work side by side, and what ends them."""
+"""Worker processes for a command, and their shutdown on signals."""
 
 import signal
 from collections.abc import Iterator
@@ -11,8 +11,9 @@
 
 @contextmanager
 def open_workers(count: int) -> Iterator[Executor]:
-    """Yield so many processes; what they have not begun by the end is not done."""
-    # Spawned, not forked: a worker starts without threads and locks of this process.
+    """Yield a pool of ``count`` processes; cancel work not yet started on exit."""
+    # Workers are spawned rather than forked, so that they do not inherit this process's
+    # threads and locks.
     pool = ProcessPoolExecutor(count, mp_context=get_context("spawn"))
     try:
         yield pool
@@ -23,14 +24,17 @@
 @contextmanager
 def interruptible() -> Iterator[None]:
     """
-    Raise ``KeyboardInterrupt`` on SIGTERM as on Ctrl-C, also in the background.
+    Raise ``KeyboardInterrupt`` on SIGINT and SIGTERM, also in a background process.
 
-    Ended by a signal at once, a command would leave its workers waiting for ever.
+    A command that a signal ends at once would leave its workers waiting forever.
     """
     signals = (signal.SIGINT, signal.SIGTERM)
-    before = [signal.signal(number, signal.default_int_handler) for number in signals]
+    previous_handlers = [
+        signal.signal(signal_number, signal.default_int_handler)
+        for signal_number in signals
+    ]
     try:
         yield
     finally:
-        for number, handler in zip(signals, before, strict=True):
-            signal.signal(number, handler)
+        for signal_number, handler in zip(signals, previous_handlers, strict=True):
+            signal.signal(signal_number, handler)
--- a/packages/operator/src/amaranthtally/operator/replay/measures.py
+++ b/packages/operator/src/amaranthtally/operator/replay/measures.py
@@ -106,13 +106,13 @@
 
 
 def jain_index(values: list[float]) -> float:
-    """Return Jain's index: 1 if all n values are equal, 1/n if one has the whole sum."""
+    """Return Jain's index: 1 if all n values are equal, 1/n if one has all."""
     squares = sum(v * v for v in values)
     return sum(values) ** 2 / (len(values) * squares) if squares else 1.0
 
 
 def _fairness(requests: list[RequestRecord]) -> float:
-    """Return Jain's index over each account's answers per max-min fair share."""
+    """Return Jain's index of answers per max-min fair share, over all accounts."""
     submitted = Counter(r.arrival.account for r in requests)
     good = Counter(r.arrival.account for r in requests if r.good)
     accounts = sorted(submitted)
--- a/packages/operator/src/amaranthtally/operator/replay/trace.py
+++ b/packages/operator/src/amaranthtally/operator/replay/trace.py
@@ -183,7 +183,7 @@
 
 
 def write_trace(path: Path, trace: Trace) -> None:
-    """Write a trace, gzipped if the name ends in ``.gz``; the bytes are reproducible."""
+    """Write a trace, gzipped if the name ends in ``.gz``, with reproducible bytes."""
     lines = [msgspec.json.encode(item) for item in (trace.header, *trace.arrivals)]
     raw = b"\n".join(lines) + b"\n"
     path.write_bytes(gzip.compress(raw, mtime=0) if path.suffix == ".gz" else raw)
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -1,4 +1,4 @@
-"""Arithmetic of the intervals, ablations that bite, and the same bytes each time."""
+"""Intervals, the effect of each ablation, and reproducible results."""
 
 import subprocess
 import sys
@@ -24,17 +24,17 @@
 START_S, END_S = 6.0, 12.5
 
 
-def test_interval_is_that_of_student():
-    # Mean 3, deviation sqrt(2.5), 4 degrees of freedom: 2.7764 * 0.7071.
-    found = estimate([1.0, 2.0, 3.0, 4.0, 5.0])
-    assert found.mean == 3.0
-    assert found.half == pytest.approx(1.9633, abs=1e-4)
-    assert found.excludes_zero
+def test_interval_follows_students_t():
+    # Mean 3, standard deviation sqrt(2.5), 4 degrees of freedom: 2.7764 * 0.7071.
+    interval = estimate([1.0, 2.0, 3.0, 4.0, 5.0])
+    assert interval.mean == 3.0
+    assert interval.half == pytest.approx(1.9633, abs=1e-4)
+    assert interval.excludes_zero
     assert not estimate([-1.0, 1.0]).excludes_zero
     assert estimate([float(i % 2) for i in range(60)]).half > 0.0
 
 
-def test_pairs_show_what_means_alone_bury():
+def test_paired_interval_is_narrower_than_unpaired():
     reference = [0.1, 0.5, 0.9]
     variant = [0.12, 0.53, 0.91]
     paired = paired_difference(variant, reference)
@@ -45,13 +45,13 @@
         paired_difference(variant, reference[:2])
 
 
-def test_the_mean_over_scenarios_is_taken_by_seed():
+def test_mean_over_scenarios_is_calculated_per_seed():
     values = {("steady", 1): 0.0, ("burst", 1): 1.0, ("steady", 2): 2.0}
     values["burst", 2] = 3.0
     observations = [
-        Observation("d", scenario, seed, name, {"attainment": value + extra})
+        Observation("d", scenario, seed, name, {"attainment": value + offset})
         for (scenario, seed), value in values.items()
-        for name, extra in (("policy", 0.0), ("admit all", 0.5))
+        for name, offset in (("policy", 0.0), ("admit all", 0.5))
     ]
     plan = Plan([], [1, 2], ["steady", "burst"], ["admit all"], figures=["attainment"])
     result = summarize(plan, observations)
@@ -62,8 +62,8 @@
     assert not result.find("d", "burst", "policy", "attainment").clear
 
 
-def hard_trace():
-    """Return the start of a flood in which all engines fail for a while as well."""
+def flood_trace_with_failures():
+    """Return part of a flood trace during which all engines also fail for a second."""
     trace = make_trace(DEPLOYMENT, "flood", SEED)
     engines = [e.id for e in trace.header.endpoints if e.pool == "assessment"]
     failing = Fault(FaultKind.FAILING, 10.4, 11.4, endpoints=engines)
@@ -79,16 +79,17 @@
     return measure("", trace.header, recorder, "assessment")
 
 
-def test_every_ablation_changes_what_is_decided():
-    # An ablation overrides methods of the policy. Were one no longer called, its
-    # row would show the policy against itself and prove a decision worthless.
-    trace = hard_trace()
+def test_every_ablation_changes_the_figures():
+    # An ablation overrides methods of the policy. If the policy no longer calls such a
+    # method, the experiment compares the policy with itself and the decision seems to
+    # have no effect.
+    trace = flood_trace_with_failures()
     policy = figures(trace, "policy")
-    same = [name for name in ablations() if figures(trace, name) == policy]
-    assert same == []
+    unchanged = [name for name in ablations() if figures(trace, name) == policy]
+    assert unchanged == []
 
 
-def test_an_experiment_gives_the_same_bytes_whatever_its_workers(tmp_path):
+def test_result_is_the_same_for_any_number_of_workers(tmp_path):
     plan = tmp_path / "tiny.toml"
     plan.write_text(
         f'deployments = ["{DEPLOYMENT}"]\nseeds = [1, 2]\nscenarios = ["failing"]\n'
@@ -107,9 +108,9 @@
     assert result.variants == ["policy", "few hedges"]
 
     plan.write_text("seeds = []\n")
-    wrong = run_command("experiment", str(plan))
-    assert wrong.returncode == 2
-    assert "lists the keys of a plan" in wrong.stderr
+    invalid = run_command("experiment", str(plan))
+    assert invalid.returncode == 2
+    assert "lists the keys of a plan" in invalid.stderr
 
 
 def run_command(*arguments):
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -1,4 +1,4 @@
-"""The replay's own arithmetic, its determinism and its exit codes."""
+"""The replay's calculations, its determinism and its exit codes."""
 
 import subprocess
 import sys
@@ -25,7 +25,7 @@
     return subprocess.run(command, capture_output=True, text=True, check=False)
 
 
-def test_one_trace_reaches_its_outcomes_in_the_same_bytes_twice(tmp_path):
+def test_replay_is_reproducible_and_meets_the_expected_outcomes(tmp_path):
     outcomes = ("--outcomes", str(ROOT / "traces" / "ci.toml"))
     arguments = ("replay", str(TRACE), "--no-baselines", "--json", *outcomes)
     first, second = run_command(*arguments), run_command(*arguments)
@@ -39,7 +39,7 @@
     assert made == trace
 
 
-def test_missed_outcome_and_unknown_figure_have_their_exit_codes(tmp_path):
+def test_exit_codes_for_missed_outcome_and_unknown_figure(tmp_path):
     outcomes = tmp_path / "outcomes.toml"
     outcomes.write_text("[all]\ngood = { min = 1000000 }\n")
     arguments = ("replay", str(TRACE), "--no-baselines", "--outcomes", str(outcomes))
@@ -53,7 +53,7 @@
     assert "unknown figures god" in unknown.stderr
 
 
-def test_fair_shares_and_index():
+def test_max_min_shares_and_jain_index():
     assert max_min_shares([10, 100, 100], 90) == [10, 40, 40]
     assert jain_index([1.0, 1.0]) == 1.0
     assert jain_index([1.0, 0.0]) == 0.5
@@ -64,15 +64,15 @@
     st.lists(st.tuples(st.integers(0, 4), st.integers(1, 5)), min_size=1, max_size=8),
     st.integers(3, 8),
 )
-def test_bound_is_the_best_choice_of_jobs(gaps_and_work, relative_due):
+def test_max_on_time_jobs_equals_exhaustive_search(gaps_and_work, relative_due):
     jobs, release = [], 0
     for gap, work in gaps_and_work:
         release += gap
         jobs.append(Job(release, release + relative_due, work))
-    assert max_on_time_jobs(jobs) == best_by_trying_all(jobs)
+    assert max_on_time_jobs(jobs) == max_on_time_by_exhaustive_search(jobs)
 
 
-def best_by_trying_all(jobs):
+def max_on_time_by_exhaustive_search(jobs):
     for size in range(len(jobs), 0, -1):
         if any(all_on_time(chosen) for chosen in combinations(jobs, size)):
             return size
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(("calls", "ends"), [(1, 1.0), (2, 1.5)])
-def test_engine_slows_as_its_batch_grows(calls, ends):
+def test_engine_slows_down_as_its_batch_grows(calls, ends):
     clock = VirtualClock()
     pool = PoolPlan("p", "engine", 8, 1.0, 0, token_s=0.01, batch_slope=0.5, tokens=1)
     engine = build_endpoint(clock, pool)
