--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -219,7 +219,7 @@
     def finished(self, now: float, run_s: float, failed: bool = False) -> None:
         """Record that a call ended; a failure does not change the limit."""
         if failed:
-            self.released()
+            self.aborted()
         else:
             super().finished(now, run_s)
 
--- a/packages/operator/src/amaranthtally/operator/replay/queues.py
+++ b/packages/operator/src/amaranthtally/operator/replay/queues.py
@@ -67,6 +67,6 @@
         """Free the slot of a call that ended."""
         self._running -= 1
 
-    def released(self) -> None:
+    def aborted(self) -> None:
         """Free the slot of a call that was aborted."""
         self._running -= 1
--- a/tests/policy/test_batcher.py
+++ b/tests/policy/test_batcher.py
@@ -130,7 +130,7 @@
     (second,) = send(batcher, NOW + 0.4, *[job(f"r{n}") for n in range(6)])
     assert second.details.shortage == "memory"
     assert second.details.waiting == 6
-    assert second.details.places == CATALOGUE.batch
+    assert second.details.batch_limit == CATALOGUE.batch
 
 
 def test_the_predicted_wait_counts_only_pieces_that_go_before(batcher):
