--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -14,7 +14,7 @@
     DayJob,
     compare,
     day_jobs,
-    play_days,
+    simulate_days,
 )
 from amaranthtally.operator.experiment.day_tables import (
     plot_differences,
@@ -116,7 +116,7 @@
     out.mkdir(parents=True, exist_ok=True)
     requested_jobs = day_jobs(deployments, range(1, seeds + 1), selected)
     with interruptible():
-        days, was_interrupted = _play(requested_jobs, out, jobs)
+        days, was_interrupted = _simulate_missing_days(requested_jobs, out, jobs)
     _write(out, days)
     sys.stdout.write(render_broken_promises(days))
     if was_interrupted:
@@ -143,9 +143,9 @@
     requested_jobs = day_jobs(drawn, [1], [POLICY.name])
     finished: dict[DayTrial, DayResult] = {}
     console = Console(stderr=True)
-    with interruptible(), closing(play_days(requested_jobs, jobs)) as playing:
-        for played in track(playing, total=len(requested_jobs), console=console):
-            finished[played.trial] = played.day
+    with interruptible(), closing(simulate_days(requested_jobs, jobs)) as simulation:
+        for simulated in track(simulation, total=len(requested_jobs), console=console):
+            finished[simulated.trial] = simulated.day
     sys.stdout.write(render_broken_promises(finished))
     broken = sum(bool(day.broken) for day in finished.values())
     sys.stdout.write(f"{len(finished)} days, {broken} broke a promise\n")
@@ -173,7 +173,7 @@
     return [POLICY.name, *(name for name in selected if name != POLICY.name)]
 
 
-def _play(
+def _simulate_missing_days(
     requested_jobs: list[DayJob], out: Path, workers: int
 ) -> tuple[dict[DayTrial, DayResult], bool]:
     """Simulate the missing days; return all days and whether it was interrupted."""
@@ -187,13 +187,13 @@
     missing = [job for job in requested_jobs if job.trial not in days]
     with (
         Progress(console=Console(stderr=True)) as progress,
-        closing(play_days(missing, workers)) as playing,
+        closing(simulate_days(missing, workers)) as simulation,
     ):
         task = progress.add_task("days", total=len(requested_jobs), completed=len(days))
         try:
-            for played in playing:
-                log.add(played)
-                days[played.trial] = played.day
+            for simulated in simulation:
+                log.add(simulated)
+                days[simulated.trial] = simulated.day
                 progress.advance(task)
         except KeyboardInterrupt:
             return days, True
--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -10,14 +10,14 @@
 from amaranthtally.operator.experiment.intervals import Interval, paired_difference
 from amaranthtally.operator.experiment.trial_log import (
     DayTrial,
-    PlayedDay,
+    SimulatedDay,
     deployment_digest,
 )
 from amaranthtally.operator.experiment.workers import open_workers
 from amaranthtally.simulator.days import DayResult, simulate_day
 from amaranthtally.simulator.deployment import Deployment
 
-__all__ = ["Comparison", "DayJob", "compare", "day_jobs", "play_days"]
+__all__ = ["Comparison", "DayJob", "compare", "day_jobs", "simulate_days"]
 
 
 class Comparison(msgspec.Struct, frozen=True):
@@ -60,7 +60,9 @@
     ]
 
 
-def play_days(jobs: Sequence[DayJob], workers: int) -> Generator[PlayedDay, None, None]:
+def simulate_days(
+    jobs: Sequence[DayJob], workers: int
+) -> Generator[SimulatedDay, None, None]:
     """
     Yield simulated days in the order in which they finish.
 
@@ -68,17 +70,17 @@
     are not simulated.
     """
     if workers <= 1:
-        yield from map(_play, jobs)
+        yield from map(_simulate, jobs)
         return
     with open_workers(workers) as pool:
-        futures = [pool.submit(_play, job) for job in jobs]
+        futures = [pool.submit(_simulate, job) for job in jobs]
         for future in as_completed(futures):
             yield future.result()
 
 
-def _play(job: DayJob) -> PlayedDay:
+def _simulate(job: DayJob) -> SimulatedDay:
     day = simulate_day(job.deployment, job.trial.seed, job.trial.variant)
-    return PlayedDay(job.trial, day)
+    return SimulatedDay(job.trial, day)
 
 
 def compare(
@@ -92,9 +94,9 @@
     reference_days = by_variant.get(reference, {})
     return [
         comparison
-        for name, played in by_variant.items()
+        for name, days_by_key in by_variant.items()
         for figure in figures
-        if (comparison := _compare_one(name, figure, played, reference_days))
+        if (comparison := _compare_one(name, figure, days_by_key, reference_days))
         is not None
     ]
 
@@ -102,13 +104,13 @@
 def _compare_one(
     name: str,
     figure: str,
-    played: Mapping[tuple[str, int], DayResult],
+    days_by_key: Mapping[tuple[str, int], DayResult],
     reference_days: Mapping[tuple[str, int], DayResult],
 ) -> Comparison | None:
-    keys = [key for key in played if key in reference_days]
+    keys = [key for key in days_by_key if key in reference_days]
     if len(keys) < 2:
         return None
-    variant_values = [float(getattr(played[key], figure)) for key in keys]
+    variant_values = [float(getattr(days_by_key[key], figure)) for key in keys]
     reference_values = [float(getattr(reference_days[key], figure)) for key in keys]
     difference = paired_difference(variant_values, reference_values)
     return Comparison(
--- a/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/trial_log.py
@@ -10,7 +10,7 @@
 from amaranthtally.simulator.days import DayResult
 from amaranthtally.simulator.deployment import Deployment
 
-__all__ = ["DayTrial", "PlayedDay", "TrialLog", "deployment_digest"]
+__all__ = ["DayTrial", "SimulatedDay", "TrialLog", "deployment_digest"]
 
 DIGEST_BYTES = 8
 
@@ -24,7 +24,7 @@
     variant: str
 
 
-class PlayedDay(msgspec.Struct, frozen=True):
+class SimulatedDay(msgspec.Struct, frozen=True):
     """A trial and the result of its day."""
 
     trial: DayTrial
@@ -32,19 +32,19 @@
 
 
 class TrialLog:
-    """Append-only file of played days in JSON Lines format."""
+    """Append-only file of simulated days in JSON Lines format."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._decode = msgspec.json.Decoder(PlayedDay)
+        self._decode = msgspec.json.Decoder(SimulatedDay)
 
     def read(self) -> dict[DayTrial, DayResult]:
         """Return the logged days; incomplete lines are ignored."""
-        return {played.trial: played.day for played in self._lines()}
+        return {simulated.trial: simulated.day for simulated in self._lines()}
 
-    def add(self, played: PlayedDay) -> None:
-        """Append a played day on a new line, even if the last line is incomplete."""
-        line = msgspec.json.encode(played) + b"\n"
+    def add(self, simulated: SimulatedDay) -> None:
+        """Append a simulated day on a new line, even if the last line is incomplete."""
+        line = msgspec.json.encode(simulated) + b"\n"
         with self._path.open("ab") as file:
             file.write(line if self._ends_with_newline() else b"\n" + line)
 
@@ -56,7 +56,7 @@
             file.seek(size - 1)
             return file.read(1) == b"\n"
 
-    def _lines(self) -> Iterator[PlayedDay]:
+    def _lines(self) -> Iterator[SimulatedDay]:
         if not self._path.exists():
             return
         for line in self._path.read_bytes().splitlines():
--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -13,9 +13,9 @@
 from amaranthtally.operator.experiment.day_runs import (
     compare,
     day_jobs,
-    play_days,
+    simulate_days,
 )
-from amaranthtally.operator.experiment.trial_log import PlayedDay, TrialLog
+from amaranthtally.operator.experiment.trial_log import SimulatedDay, TrialLog
 from amaranthtally.operator.main import app
 from amaranthtally.simulator.days import DayResult
 from amaranthtally.simulator.deployment import write_deployment
@@ -96,11 +96,11 @@
     """Ctrl-C after an hour of days loses all of them."""
 
     def interrupted(trials, jobs):
-        yield next(iter(play_days(trials[:1], 1)))
+        yield next(iter(simulate_days(trials[:1], 1)))
         raise KeyboardInterrupt
 
     monkeypatch.setattr(
-        "amaranthtally.operator.experiment.day_commands.play_days", interrupted
+        "amaranthtally.operator.experiment.day_commands.simulate_days", interrupted
     )
     out = tmp_path / "out"
     assert run_in(out, path) == 130
@@ -167,15 +167,15 @@
 def test_a_broken_promise_ends_a_search_with_1(monkeypatch, capsys):
     def play(job):
         day = DayResult(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
-        return PlayedDay(job.trial, day)
+        return SimulatedDay(job.trial, day)
 
-    monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._play", play)
+    monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._simulate", play)
     assert command("experiment", "search", "--days", 2, "--jobs", 1) == 1
     assert "order-1 ran 2 times" in capsys.readouterr().out
 
 
 def test_days_played_side_by_side_are_those_played_in_turn():
     trials = day_jobs([small(seconds=1.0)], [1, 2], variant_names()[:2])
-    in_turn = {p.trial: p.day for p in play_days(trials, 1)}
-    assert {p.trial: p.day for p in play_days(trials, 2)} == in_turn
+    in_turn = {p.trial: p.day for p in simulate_days(trials, 1)}
+    assert {p.trial: p.day for p in simulate_days(trials, 2)} == in_turn
     assert all(one.pairs == 2 for one in compare(in_turn, "policy", ["worth"]))
