--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -42,7 +42,7 @@
 EXIT_INTERRUPTED = 130
 MAIN_FIGURE = "worth"
 TRIAL_LOG_NAME = "days.jsonl"
-# A search uses short days, because violations appear soon after a fault.
+# A search uses short days, because broken promises show soon after a fault.
 SEARCH_S = 16.0
 DAY_S = 24.0
 
@@ -97,7 +97,7 @@
     first
         Seed of the first drawn deployment; the next ones count up.
     seconds
-        Duration of the arrivals on drawn days.
+        Duration of the arrivals on drawn days, in seconds.
     variants
         Variants to compare with the policy; all variants if left out.
     seeds
--- a/packages/operator/src/amaranthtally/operator/experiment/variants.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/variants.py
@@ -93,7 +93,8 @@
 def ablated_decisions() -> Mapping[str, Decision]:
     """Return the decision that each ablation replaces, by the ablation's name."""
     return {
-        name: ablation_entry.decision for name, ablation_entry in _ABLATIONS.items()
+        name: registered_ablation.decision
+        for name, registered_ablation in _ABLATIONS.items()
     }
 
 
@@ -109,12 +110,16 @@
 
 def get_variant(name: str) -> Variant:
     """Return an ablation, a baseline or the policy by name; raises ``KeyError``."""
-    ablation_entry = _ABLATIONS.get(name)
-    if ablation_entry is None:
+    registered_ablation = _ABLATIONS.get(name)
+    if registered_ablation is None:
         return Variant(name, get_contender(name), _same_header)
-    chosen = ablation_entry.ablation
-    build = partial(_build_planner, chosen.components)
-    return Variant(name, Contender(name, build, chosen.build_queue), chosen.adapt)
+    selected_ablation = registered_ablation.ablation
+    build = partial(_build_planner, selected_ablation.components)
+    return Variant(
+        name,
+        Contender(name, build, selected_ablation.build_queue),
+        selected_ablation.adapt,
+    )
 
 
 def settings_variant(name: str, values: Mapping[str, Any]) -> Variant:
--- a/packages/operator/src/amaranthtally/operator/replay/bound.py
+++ b/packages/operator/src/amaranthtally/operator/replay/bound.py
@@ -2,16 +2,17 @@
 Clairvoyant upper bound on the requests that any scheduler can answer in time.
 
 The bound uses every arrival and the work of every call. Each pool is modelled as one
-fluid server as fast as all its slots together, which includes the fault windows. A
-call is released when the fastest earlier stages can have finished, and it is due
-early enough for the fastest later stages. The maximum number of calls that this
-server finishes on time bounds the requests that can be answered in time.
+fluid server as fast as all its slots together, and slower during faults. A call is
+released after the shortest time that any request spends in the earlier stages, and
+its due time leaves the shortest time that any request needs for the later stages.
+The maximum number of calls that this server finishes on time bounds the number of
+requests that can be answered in time.
 
 The model leaves out the network, prefill, partly filled batches, the speed of a
-single slot, placement, cut regions and the other pools. All of them only make a
-real schedule slower, so the bound can be loose but is never too low. Jobs in the
-order of their releases are also in the order of their due times; for such jobs the
-algorithm of Kise, Ibaraki and Mine (1978) maximises the number on time.
+single slot, placement, cut regions and the other pools. Each of them could only lower
+the bound, so the bound can be loose but is never too low. The calls have the same
+order by release and by due time; for such jobs the algorithm of Kise, Ibaraki and
+Mine (1978) maximises the number on time.
 """
 
 from bisect import bisect_right
@@ -77,7 +78,11 @@
 
 
 def max_on_time_jobs(jobs: list[Job]) -> int:
-    """Return the maximum number of jobs on time; they are sorted by release and due."""
+    """
+    Return the maximum number of jobs that can end on time.
+
+    ``jobs`` must be in order of release, which is also the order of due.
+    """
     kept: list[Job] = []
     ends: list[float] = []
     for job in jobs:
@@ -92,25 +97,25 @@
 def _drop_job(kept: list[Job], ends: list[float]) -> None:
     """Remove the job whose removal lets the last job end earliest."""
     slack = float("inf")
-    best, gain = len(kept) - 1, -1.0
+    best_index, best_saving = len(kept) - 1, -1.0
     for i in range(len(kept) - 1, -1, -1):
-        saved = min(kept[i].work, slack)
-        if saved > gain:
-            best, gain = i, saved
+        saving = min(kept[i].work, slack)
+        if saving > best_saving:
+            best_index, best_saving = i, saving
         slack = min(slack, ends[i] - kept[i].work - kept[i].release)
         if slack <= 0.0:
             break
-    del kept[best]
-    del ends[best:]
-    for job in kept[best:]:
+    del kept[best_index]
+    del ends[best_index:]
+    for job in kept[best_index:]:
         start = max(job.release, ends[-1] if ends else job.release)
         ends.append(start + job.work)
 
 
 def _calls_per_s(header: Header, pool: PoolPlan, jobs: list[Job]) -> float:
-    mean = sum(job.work for job in jobs) / len(jobs)
+    mean_work = sum(job.work for job in jobs) / len(jobs)
     endpoints = sum(e.pool == pool.name for e in header.endpoints)
-    return endpoints * _endpoint_rate(pool) / mean
+    return endpoints * _endpoint_rate(pool) / mean_work
 
 
 # Jobs
@@ -123,15 +128,15 @@
         faults = [f for f in header.faults if f.endpoints]
         self._times = sorted({0.0, *(t for f in faults for t in (f.start_s, f.end_s))})
         self._rates = [_pool_rate(header, pool, t) for t in self._times]
-        self._done = [0.0]
+        self._work_done = [0.0]
         for i in range(1, len(self._times)):
             span = self._times[i] - self._times[i - 1]
-            self._done.append(self._done[-1] + span * self._rates[i - 1])
+            self._work_done.append(self._work_done[-1] + span * self._rates[i - 1])
 
     def work_by(self, time: float) -> float:
         """Return the work, in seconds, that the pool can do from 0 to ``time``."""
         i = max(0, bisect_right(self._times, time) - 1)
-        return self._done[i] + (time - self._times[i]) * self._rates[i]
+        return self._work_done[i] + (time - self._times[i]) * self._rates[i]
 
 
 def _jobs(trace: Trace, pool: PoolPlan) -> list[Job]:
@@ -186,7 +191,7 @@
 
 
 def _endpoint_rate(pool: PoolPlan) -> float:
-    """Return the work per second of an endpoint; work is in seconds of a call alone."""
+    """Return an endpoint's work per second, counted in run time of a call alone."""
     return pool.slots / (1.0 + pool.batch_slope * (pool.slots - 1))
 
 
@@ -203,12 +208,12 @@
 
 
 def _slowed_speed(header: Header, endpoint: str) -> float:
-    slow = [
+    factors = [
         f.factor
         for f in header.faults
         if f.kind is FaultKind.SLOW and endpoint in f.endpoints
     ]
-    return 1.0 / max(slow)
+    return 1.0 / max(factors)
 
 
 def _active_faults(header: Header, endpoint: str, time: float) -> Iterable[FaultKind]:
--- a/packages/operator/src/amaranthtally/operator/replay/endpoints.py
+++ b/packages/operator/src/amaranthtally/operator/replay/endpoints.py
@@ -29,8 +29,8 @@
     """
     A call at an endpoint; ``seconds`` is its run time alone on the endpoint.
 
-    ``done`` is called at the end with whether the call finished. ``progress`` is
-    called with the number of chunks sent so far.
+    ``done`` is called when the call ends, with true if it finished and false if it
+    failed. ``progress`` is called with the number of chunks sent so far.
     """
 
     seconds: float
@@ -65,8 +65,8 @@
         """
         Start or stop failing calls.
 
-        While failing, each call fails soon after its start; the calls that run now
-        fail at once.
+        While failing, each new call fails soon after its start. The calls that are
+        running when failing starts fail at once.
         """
         self._failing = failing
         for run in list(self._running) if failing else ():
@@ -171,6 +171,7 @@
         super().__init__(clock, pool)
         self._cache = _PrefixCache(pool.cache_blocks)
         self._queued: deque[Run] = deque()
+        # A heap of (decode step, serial, run, chunk).
         self._chunk_events: list[tuple[float, int, Run, int]] = []
         self._batch: dict[Run, None] = {}
         self._decode_steps = 0.0
@@ -210,9 +211,9 @@
         self._schedule_next_event()
 
     def _schedule_chunks(self, run: Run) -> None:
-        use = self._cache.use(run.prefix)
-        self._publish(use.stored, use.removed)
-        missed = len(run.prefix) - use.hits
+        cache_use = self._cache.use(run.prefix)
+        self._publish(cache_use.stored, cache_use.removed)
+        missed = len(run.prefix) - cache_use.hits
         prefill_s = missed * self._pool.block_tokens * self._pool.prefill_token_s
         prefilled_at = self._decode_steps + prefill_s / self._pool.token_s
         steps_per_token = run.seconds / (run.tokens * self._pool.token_s)
--- a/packages/operator/src/amaranthtally/operator/replay/entry.py
+++ b/packages/operator/src/amaranthtally/operator/replay/entry.py
@@ -138,11 +138,11 @@
         self._clock.after(TICK_S, self.tick)
 
     def lose_attempts_across(self, region: str) -> None:
-        """End as lost the attempts between ``region`` and the other regions."""
+        """End as lost the attempts that cross the cut around ``region``."""
         lost_attempts = [
             attempt
-            for live in self._live_requests.values()
-            for attempt, live_attempt in live.attempts.items()
+            for live_request in self._live_requests.values()
+            for attempt, live_attempt in live_request.attempts.items()
             if (self._fleet[live_attempt.endpoint].plan.region == region)
             != (self._region == region)
         ]
@@ -159,10 +159,10 @@
             handler(action)
 
     def _send(self, send: Send) -> None:
-        live = self._require_live(send.attempt.request_id, "Send")
+        live_request = self._require_live(send.attempt.request_id, "Send")
         sidecar = self._fleet[send.endpoint]
-        size = live.output_bytes or live.arrival.input_bytes
-        live.attempts[send.attempt] = _LiveAttempt(send.endpoint, size)
+        size = live_request.output_bytes or live_request.arrival.input_bytes
+        live_request.attempts[send.attempt] = _LiveAttempt(send.endpoint, size)
         self._count_send(send)
         if not self._network.is_reachable(self._region, sidecar.plan):
             report_lost = partial(
@@ -170,18 +170,21 @@
             )
             self._clock.after(self._network.detection_delay_s, report_lost)
             return
-        self._count_bytes(send.attempt, sidecar, size)
-        call = self._build_call(live, send, sidecar)
+        self._count_region_bytes(send.attempt, sidecar, size)
+        call = self._build_call(live_request, send, sidecar)
         self._clock.after(self._delay(sidecar), partial(sidecar.run, call))
 
     def _cancel(self, cancel: Cancel) -> None:
-        live = self._live_requests.get(cancel.attempt.request_id)
-        if live is not None and live.attempts.pop(cancel.attempt, None) is not None:
+        live_request = self._live_requests.get(cancel.attempt.request_id)
+        if (
+            live_request is not None
+            and live_request.attempts.pop(cancel.attempt, None) is not None
+        ):
             self._cancel_attempt(cancel.attempt, cancel.endpoint)
 
     def _query_attempt(self, query: QueryAttempt) -> None:
-        live = self._require_live(query.attempt.request_id, "QueryAttempt")
-        live.attempts[query.attempt] = _LiveAttempt(query.endpoint, 0)
+        live_request = self._require_live(query.attempt.request_id, "QueryAttempt")
+        live_request.attempts[query.attempt] = _LiveAttempt(query.endpoint, 0)
         sidecar = self._fleet[query.endpoint]
         if not self._network.is_reachable(self._region, sidecar.plan):
             report_unknown = partial(
@@ -210,37 +213,39 @@
 
     def _answer(self, answer: Answer) -> None:
         self._remove_request(answer.request_id, "Answer")
-        self._recorder.end(answer.request_id, self._clock.now)
+        self._recorder.end_request(answer.request_id, self._clock.now)
 
     def _refuse(self, refusal: Refuse) -> None:
         self._remove_request(refusal.request_id, "Refuse")
-        self._recorder.end(
+        self._recorder.end_request(
             refusal.request_id, self._clock.now, refusal.outcome, refusal.reason
         )
 
     def _remove_request(self, request_id: str, action: str) -> None:
-        live = self._require_live(request_id, action)
+        live_request = self._require_live(request_id, action)
         del self._live_requests[request_id]
-        for attempt, live_attempt in live.attempts.items():
+        for attempt, live_attempt in live_request.attempts.items():
             self._cancel_attempt(attempt, live_attempt.endpoint)
 
     def _require_live(self, request_id: str, action: str) -> _LiveRequest:
-        live = self._live_requests.get(request_id)
-        if live is None:
+        live_request = self._live_requests.get(request_id)
+        if live_request is None:
             raise DoubleEndError(request_id, action)
-        return live
+        return live_request
 
     # Attempts
 
-    def _build_call(self, live: _LiveRequest, send: Send, sidecar: FakeSidecar) -> Call:
-        stage = live.arrival.pipeline.stages[send.attempt.stage]
+    def _build_call(
+        self, live_request: _LiveRequest, send: Send, sidecar: FakeSidecar
+    ) -> Call:
+        stage = live_request.arrival.pipeline.stages[send.attempt.stage]
         return Call(
             attempt=send.attempt,
-            account=live.arrival.account,
+            account=live_request.arrival.account,
             deadline=send.deadline,
-            priority=live.arrival.priority,
+            priority=live_request.arrival.priority,
             repeatable=stage.repeatable,
-            prefix=live.arrival.prefix if stage.streams else (),
+            prefix=live_request.arrival.prefix if stage.streams else (),
             resume_chunks=send.resume_offset,
             reply=partial(self._deliver_reply, sidecar, send.attempt),
             progress=partial(self._deliver_progress, sidecar, send.attempt),
@@ -252,7 +257,7 @@
         if not self._network.is_reachable(self._region, sidecar.plan):
             return
         load = sidecar.load()
-        self._count_bytes(attempt, sidecar, result.output_bytes)
+        self._count_region_bytes(attempt, sidecar, result.output_bytes)
 
         def deliver() -> None:
             now = self._clock.now
@@ -273,19 +278,19 @@
             return
 
         def deliver() -> None:
-            live = self._live_requests.get(attempt.request_id)
-            if live is not None and attempt in live.attempts:
+            live_request = self._live_requests.get(attempt.request_id)
+            if live_request is not None and attempt in live_request.attempts:
                 now = self._clock.now
                 self._execute(self._planner.progress(now, attempt, chunks))
 
         self._clock.after(self._delay(sidecar), deliver)
 
     def _finish_attempt(self, attempt: AttemptId, result: AttemptResult) -> None:
-        live = self._live_requests.get(attempt.request_id)
-        if live is None or live.attempts.pop(attempt, None) is None:
+        live_request = self._live_requests.get(attempt.request_id)
+        if live_request is None or live_request.attempts.pop(attempt, None) is None:
             return
         if result.outcome is AttemptOutcome.FINISHED:
-            live.output_bytes = result.output_bytes
+            live_request.output_bytes = result.output_bytes
             self._recorder.request(attempt.request_id).useful.add(attempt)
         self._execute(self._planner.reply(self._clock.now, attempt, result))
 
@@ -306,6 +311,8 @@
         elif send.attempt.number > 1:
             self._recorder.retries += 1
 
-    def _count_bytes(self, attempt: AttemptId, sidecar: FakeSidecar, size: int) -> None:
+    def _count_region_bytes(
+        self, attempt: AttemptId, sidecar: FakeSidecar, size: int
+    ) -> None:
         if sidecar.plan.region != self._region:
             self._recorder.note_bytes(attempt.request_id, sidecar.pool.name, size)
--- a/packages/operator/src/amaranthtally/operator/replay/measures.py
+++ b/packages/operator/src/amaranthtally/operator/replay/measures.py
@@ -152,18 +152,19 @@
 
 
 def _burst_goodput(good: list[RequestRecord], header: Header, bottleneck: str) -> float:
-    kinds = (FaultKind.BURST, FaultKind.FLOOD)
-    burst = next((f for f in header.faults if f.kind in kinds), None)
+    burst_kinds = (FaultKind.BURST, FaultKind.FLOOD)
+    burst = next((f for f in header.faults if f.kind in burst_kinds), None)
     if burst is None:
         return 0.0
     start, end = burst.start_s + BURST_LAG_S, burst.end_s + BURST_LAG_S
-    users = {
+    pipelines = {
         plan.name
         for plan in header.pipelines
         if any(stage.pool == bottleneck for stage in plan.stages)
     }
     answers = sum(
-        r.arrival.pipeline in users and start <= (r.ended_at or 0.0) < end for r in good
+        r.arrival.pipeline in pipelines and start <= (r.ended_at or 0.0) < end
+        for r in good
     )
     return _round(answers / (end - start))
 
--- a/packages/operator/src/amaranthtally/operator/replay/recorder.py
+++ b/packages/operator/src/amaranthtally/operator/replay/recorder.py
@@ -49,7 +49,8 @@
     """
     Records of all requests, and counts of sends, retries and hedges.
 
-    ``false_not_run`` counts attempts started in spite of the outcome NOT_RUN.
+    ``false_not_run`` counts contradictions of the outcome NOT_RUN: requests that ended
+    with it after an attempt had started, and attempts that started after such an end.
     """
 
     def __init__(self) -> None:
@@ -97,7 +98,7 @@
         bytes_by_pool = self._requests[request_id].region_bytes
         bytes_by_pool[pool] = bytes_by_pool.get(pool, 0) + size
 
-    def end(
+    def end_request(
         self,
         request_id: str,
         now: float,
--- a/packages/operator/src/amaranthtally/operator/replay/sidecar.py
+++ b/packages/operator/src/amaranthtally/operator/replay/sidecar.py
@@ -84,8 +84,8 @@
     progress: Callable[[int], None]
     queued: QueuedCall | None = None
     run: Run | None = None
-    arrived: float = 0.0
-    started: float = 0.0
+    arrived_at: float = 0.0
+    started_at: float = 0.0
 
 
 @dataclass(slots=True)
@@ -121,8 +121,8 @@
         self._cancelled_attempts: set[AttemptId] = set()
         self._leaving = False
         self._load_lag_s = 0.0
-        self._loads: deque[tuple[float, LoadReport]] = deque(maxlen=LOAD_HISTORY)
-        self._note_load()
+        self._load_history: deque[tuple[float, LoadReport]] = deque(maxlen=LOAD_HISTORY)
+        self._record_load()
 
     @property
     def plan(self) -> EndpointPlan:
@@ -148,14 +148,14 @@
     def load(self) -> LoadReport:
         """Return the load report for a reply sent now, delayed by the load lag."""
         reported_at = self._clock.now - self._load_lag_s
-        while len(self._loads) > 1 and self._loads[1][0] <= reported_at:
-            self._loads.popleft()
-        return self._loads[0][1]
+        while len(self._load_history) > 1 and self._load_history[1][0] <= reported_at:
+            self._load_history.popleft()
+        return self._load_history[0][1]
 
     def run(self, call: Call) -> None:
         """Queue a call, or reply that it did not run."""
         now = self._clock.now
-        call.arrived = now
+        call.arrived_at = now
         if call.attempt in self._cancelled_attempts or call.deadline <= now:
             self._reply_not_run(call)
             return
@@ -169,7 +169,7 @@
         self._queued_calls[self._serial] = call
         self._calls[call.attempt] = call
         self._start_next()
-        self._note_load()
+        self._record_load()
 
     def cancel(self, attempt: AttemptId) -> None:
         """Cancel a call; an at-most-once call that has started runs on."""
@@ -184,10 +184,10 @@
             self._reply_not_run(call)
         elif call.run is not None and call.repeatable:
             self._endpoint.cancel(call.run)
-            self._note_end(call)
+            self._record_end(call)
             self._queue.aborted()
             self._start_next()
-        self._note_load()
+        self._record_load()
 
     def query_outcome(self, request_id: str, stage: int, reply: Reply) -> None:
         """Reply with the outcome of an at-most-once call, once it has ended."""
@@ -230,34 +230,34 @@
         work = self._work.stage_work(attempt.request_id, attempt.stage, self._pool)
         is_straggler = self._work.is_straggler(attempt, self._pool)
         factor = self._pool.straggle_factor if is_straggler else 1.0
-        call.started = self._clock.now
+        call.started_at = self._clock.now
         call.run = Run(
             seconds=work.seconds * factor,
             tokens=work.tokens,
             prefix=call.prefix,
             resume_chunks=call.resume_chunks,
-            done=partial(self._done, call),
+            done=partial(self._finish_run, call),
             progress=call.progress,
         )
         self._recorder.note_start(attempt, call.repeatable)
         self._endpoint.start(call.run)
 
-    def _done(self, call: Call, finished: bool) -> None:
-        run_s = self._note_end(call)
+    def _finish_run(self, call: Call, finished: bool) -> None:
+        run_s = self._record_end(call)
         self._queue.finished(self._clock.now, run_s, not finished)
         self._start_next()
         call.reply(
             AttemptResult(
                 AttemptOutcome.FINISHED if finished else AttemptOutcome.FAILED,
                 run_s=run_s,
-                queued_s=call.started - call.arrived,
+                queued_s=call.started_at - call.arrived_at,
                 output_bytes=self._pool.output_bytes if finished else 0,
             )
         )
-        self._note_load()
+        self._record_load()
 
-    def _note_end(self, call: Call) -> float:
-        run_s = self._clock.now - call.started
+    def _record_end(self, call: Call) -> float:
+        run_s = self._clock.now - call.started_at
         self._calls.pop(call.attempt, None)
         self._recorder.note_run(call.attempt, self._pool, run_s)
         return run_s
@@ -267,7 +267,7 @@
         retry_after_s = self._queue.backlog_s
         call.reply(AttemptResult(AttemptOutcome.NOT_RUN, retry_after_s=retry_after_s))
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         report = LoadReport(
             incarnation=INCARNATION,
             running=self._queue.running,
@@ -277,4 +277,4 @@
             backlog_s=self._queue.backlog_s,
             leaving=self._leaving,
         )
-        self._loads.append((self._clock.now, report))
+        self._load_history.append((self._clock.now, report))
