--- a/packages/operator/src/amaranthtally/operator/experiment/ablations.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/ablations.py
@@ -131,25 +131,25 @@
         self._random_source = random
 
     def choose(
-        self, now: float, wanted: RouteRequest, stats: StageStats
+        self, now: float, request: RouteRequest, stats: StageStats
     ) -> Choice | None:
         """Return a random usable endpoint, or ``None`` if there is none."""
-        usable = self.usable(wanted)
+        usable = self.usable(request)
         if not usable:
             return None
-        return self.predict(now, wanted, stats, self.pick(usable))
+        return self.predict(now, request, stats, self.pick(usable))
 
     def pick(self, usable: Sequence[Endpoint]) -> Endpoint:
         """Return a random one of the usable endpoints."""
         return self._random_source.choice(usable)
 
-    def usable(self, wanted: RouteRequest) -> list[Endpoint]:
+    def usable(self, request: RouteRequest) -> list[Endpoint]:
         """Return the endpoints that are neither excluded, ejected nor leaving."""
         return [
             endpoint
-            for group in self._endpoint_groups.candidates(wanted.stage).values()
+            for group in self._endpoint_groups.candidates(request.stage).values()
             for endpoint in group
-            if endpoint.id not in wanted.excluded
+            if endpoint.id not in request.excluded
             and not self._ejection_state.is_ejected(endpoint.id)
             and not self._load_table.get_or_create(endpoint).leaving
         ]
--- a/packages/operator/src/amaranthtally/operator/experiment/command.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/command.py
@@ -82,8 +82,8 @@
 def _observe(plan: Plan, workers: int) -> list[Observation]:
     total = len(plan_trials(plan))
     observations: list[Observation] = []
-    with interruptible(), closing(run_trials(plan, workers)) as running:
-        for done, trace_observations in enumerate(running, start=1):
+    with interruptible(), closing(run_trials(plan, workers)) as trial_results:
+        for done, trace_observations in enumerate(trial_results, start=1):
             observations.extend(trace_observations)
             sys.stderr.write(f"\r{done}/{total} traces")
     sys.stderr.write("\n")
--- a/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
@@ -16,7 +16,7 @@
 
 
 def render_comparisons(comparisons: Sequence[Comparison], figure: str) -> str:
-    """Return a Markdown table of one figure, sorted by difference in rising order."""
+    """Return a Markdown table of one figure in rising order of the difference."""
     rows = [comparison for comparison in comparisons if comparison.figure == figure]
     rows.sort(key=lambda comparison: comparison.difference)
     lines = [
--- a/packages/operator/src/amaranthtally/operator/experiment/plan.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/plan.py
@@ -105,7 +105,7 @@
 def _to_path(kind: type, value: object) -> Path:
     if kind is Path and isinstance(value, str):
         return Path(value)
-    raise NotImplementedError(f"{kind.__name__} from {value!r}")
+    raise NotImplementedError(f"no conversion to {kind.__name__} from {value!r}")
 
 
 def _validate(path: Path, plan: Plan) -> None:
@@ -150,14 +150,14 @@
 
 def _check_settings(path: Path, settings: Mapping[str, Mapping[str, Any]]) -> None:
     defaults = PolicySettings(0, "", "")
-    free = [
+    allowed = [
         name for name in PolicySettings.__match_args__ if name not in FIXED_SETTINGS
     ]
     for name, values in settings.items():
         if name in variant_names():
             remedy = "give the table of settings another name"
             raise PlanError(path, f"variant {name} already exists", remedy)
-        _check_names(path, f"setting of {name}", values, free)
+        _check_names(path, f"setting of {name}", values, allowed)
         for key, value in values.items():
             if type(value) not in (int, float) or value < 0:
                 detail = f"{key} of {name} is {value!r}"
--- a/packages/operator/src/amaranthtally/operator/replay/baselines.py
+++ b/packages/operator/src/amaranthtally/operator/replay/baselines.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contender:
-    """What is replayed on a trace: an entry's planner and a sidecar's queue."""
+    """A planner for the entries and a queue for the sidecars, replayed together."""
 
     name: str
     build_planner: BuildPlanner
@@ -77,11 +77,11 @@
 # Queues
 
 
-def _bounded(pool: PoolPlan) -> Queue:
+def _bounded_fifo(pool: PoolPlan) -> Queue:
     return FirstInFirstOut(pool.slots, pool.queue_capacity)
 
 
-def _unbounded(pool: PoolPlan) -> Queue:
+def _unbounded_fifo(pool: PoolPlan) -> Queue:
     return FirstInFirstOut(pool.slots, UNBOUNDED_CAPACITY)
 
 
@@ -97,7 +97,7 @@
     arrival: Arrival
     stage: int = 0
     retries: int = 0
-    number: int = 0
+    attempt_number: int = 0
     started: bool = False
     attempt: AttemptId | None = None
     endpoint: str = ""
@@ -121,18 +121,18 @@
     """Chooses an endpoint of a pool in turn or by this entry's outstanding calls."""
 
     outstanding: dict[str, int] = field(default_factory=dict)
-    rotations: dict[str, int] = field(default_factory=dict)
+    next_positions: dict[str, int] = field(default_factory=dict)
 
     def in_turn(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
         """Return the next endpoint in round-robin order."""
-        turn = self.rotations.get(pool, 0)
-        self.rotations[pool] = turn + 1
+        turn = self.next_positions.get(pool, 0)
+        self.next_positions[pool] = turn + 1
         return endpoints[turn % len(endpoints)]
 
     def least_outstanding(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
         """Return the endpoint with the fewest outstanding attempts; ties rotate."""
-        first = self.rotations.get(pool, 0)
-        self.rotations[pool] = first + 1
+        first = self.next_positions.get(pool, 0)
+        self.next_positions[pool] = first + 1
         rotated = [*endpoints[first % len(endpoints) :], *endpoints]
         return min(rotated, key=lambda e: self.outstanding.get(e.id, 0))
 
@@ -167,7 +167,7 @@
         request = self._requests.get(attempt.request_id)
         if request is None or request.attempt != attempt:
             return []
-        self._release(request)
+        self._release_attempt(request)
         request.started |= result.outcome is not AttemptOutcome.NOT_RUN
         if result.outcome is AttemptOutcome.FINISHED:
             return self._advance(request)
@@ -196,13 +196,13 @@
         actions: list[Action] = []
         for request in expired:
             request.started |= request.attempt is not None
-            self._release(request)
+            self._release_attempt(request)
             actions.append(self._refuse(request, RefusalReason.DEADLINE))
         return actions
 
     def _advance(self, request: _Request) -> list[Action]:
         request.stage += 1
-        request.retries = request.number = 0
+        request.retries = request.attempt_number = 0
         if request.stage == len(request.arrival.pipeline.stages):
             del self._requests[request.arrival.request_id]
             return [Answer(request.arrival.request_id)]
@@ -222,12 +222,14 @@
         endpoint = self._choose(pool, self._pools[pool])
         outstanding = self._chooser.outstanding
         outstanding[endpoint.id] = outstanding.get(endpoint.id, 0) + 1
-        request.number += 1
-        request.attempt = AttemptId(arrival.request_id, request.stage, request.number)
+        request.attempt_number += 1
+        request.attempt = AttemptId(
+            arrival.request_id, request.stage, request.attempt_number
+        )
         request.endpoint = endpoint.id
         return [Send(request.attempt, endpoint.id, arrival.deadline)]
 
-    def _release(self, request: _Request) -> None:
+    def _release_attempt(self, request: _Request) -> None:
         if request.attempt is not None:
             self._chooser.outstanding[request.endpoint] -= 1
         request.attempt = None
@@ -243,21 +245,21 @@
     return Planner(settings, random)
 
 
-@_register_contender("round robin", _bounded)
+@_register_contender("round robin", _bounded_fifo)
 def _round_robin(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, False, RetryRule(1, True))
 
 
-@_register_contender("least outstanding", _bounded)
+@_register_contender("least outstanding", _bounded_fifo)
 def _least_outstanding(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_register_contender("no admission", _unbounded)
+@_register_contender("no admission", _unbounded_fifo)
 def _no_admission(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_register_contender("retry thrice", _bounded)
+@_register_contender("retry thrice", _bounded_fifo)
 def _retry_thrice(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(3, False))
--- a/packages/operator/src/amaranthtally/operator/replay/command.py
+++ b/packages/operator/src/amaranthtally/operator/replay/command.py
@@ -125,12 +125,12 @@
         )
         return EXIT_BAD_INPUT
     try:
-        made = [make_trace(deployment, name, seed) for name in names]
+        made_traces = [make_trace(deployment, name, seed) for name in names]
     except TraceError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
     out.mkdir(parents=True, exist_ok=True)
-    for trace in made:
+    for trace in made_traces:
         header = trace.header
         path = out / f"{header.deployment}-{header.scenario}{TRACE_SUFFIX}"
         write_trace(path, trace)
--- a/packages/operator/src/amaranthtally/operator/replay/scenarios.py
+++ b/packages/operator/src/amaranthtally/operator/replay/scenarios.py
@@ -174,6 +174,7 @@
 
 
 def _make_arrivals(header: Header) -> list[TraceArrival]:
+    """Return Poisson arrivals, thinned from the peak rate to the rate at each time."""
     generator = random.Random(f"{header.deployment}/{header.scenario}/{header.seed}")
     arrivals: list[TraceArrival] = []
     at = 0.0
--- a/packages/operator/src/amaranthtally/operator/replay/trace.py
+++ b/packages/operator/src/amaranthtally/operator/replay/trace.py
@@ -43,7 +43,8 @@
     decodes a token of a call that runs alone in ``token_s`` seconds; each other call
     in the batch adds the fraction ``batch_slope`` of that time. ``price`` is the cost
     of one slot for one second. Cache events are delivered after ``event_lag_s``
-    seconds, and every ``event_gap``-th event is lost.
+    seconds, and every ``event_gap``-th event is lost. The share ``straggle_rate`` of
+    the calls takes ``straggle_factor`` times as long.
     """
 
     name: str
@@ -76,7 +77,7 @@
 
 
 class StagePlan(msgspec.Struct, frozen=True):
-    """A stage: the fields of the policy's ``Stage`` but for the price."""
+    """A stage, with the fields of the policy's ``Stage`` except for the price."""
 
     name: str
     pool: str
