--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -114,5 +114,10 @@
     reference_values = [float(getattr(reference_days[key], figure)) for key in keys]
     difference = paired_difference(variant_values, reference_values)
     return Comparison(
-        name, figure, fmean(variant_values), difference.mean, difference.half, len(keys)
+        name,
+        figure,
+        fmean(variant_values),
+        difference.mean,
+        difference.half_width,
+        len(keys),
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
@@ -16,7 +16,7 @@
 
 
 def render_comparisons(comparisons: Sequence[Comparison], figure: str) -> str:
-    """Return a Markdown table of one figure in rising order of the difference."""
+    """Return a Markdown table of one figure in ascending order of difference."""
     rows = [comparison for comparison in comparisons if comparison.figure == figure]
     rows.sort(key=lambda comparison: comparison.difference)
     lines = [
--- a/packages/operator/src/amaranthtally/operator/experiment/intervals.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/intervals.py
@@ -22,12 +22,12 @@
     """A mean and half the width of its 95% confidence interval."""
 
     mean: float
-    half: float
+    half_width: float
 
     @property
     def excludes_zero(self) -> bool:
         """Whether 0 is outside the interval."""
-        return abs(self.mean) > self.half
+        return abs(self.mean) > self.half_width
 
 
 def estimate(values: Sequence[float]) -> Interval:
--- a/packages/operator/src/amaranthtally/operator/experiment/results.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/results.py
@@ -120,9 +120,9 @@
             variant=variant,
             figure=figure,
             mean=mean.mean,
-            half=mean.half,
+            half=mean.half_width,
             difference=difference.mean,
-            difference_half=difference.half,
+            difference_half=difference.half_width,
             clear=difference.excludes_zero,
             values=[round(value, DIGITS) for value in values],
         )
@@ -142,4 +142,4 @@
 
 
 def _rounded(interval: Interval) -> Interval:
-    return Interval(round(interval.mean, DIGITS), round(interval.half, DIGITS))
+    return Interval(round(interval.mean, DIGITS), round(interval.half_width, DIGITS))
--- a/packages/operator/src/amaranthtally/operator/replay/baselines.py
+++ b/packages/operator/src/amaranthtally/operator/replay/baselines.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from amaranthtally.operator.replay.entry import EntryPlanner
-from amaranthtally.operator.replay.queues import FirstInFirstOut
+from amaranthtally.operator.replay.queues import FifoQueue
 from amaranthtally.operator.replay.sidecar import Queue
 from amaranthtally.operator.replay.trace import PoolPlan
 from amaranthtally.policy import (
@@ -78,11 +78,11 @@
 
 
 def _bounded_fifo(pool: PoolPlan) -> Queue:
-    return FirstInFirstOut(pool.slots, pool.queue_capacity)
+    return FifoQueue(pool.slots, pool.queue_capacity)
 
 
 def _unbounded_fifo(pool: PoolPlan) -> Queue:
-    return FirstInFirstOut(pool.slots, UNBOUNDED_CAPACITY)
+    return FifoQueue(pool.slots, UNBOUNDED_CAPACITY)
 
 
 def _run_queue(pool: PoolPlan) -> Queue:
--- a/packages/operator/src/amaranthtally/operator/replay/queues.py
+++ b/packages/operator/src/amaranthtally/operator/replay/queues.py
@@ -4,10 +4,10 @@
 
 from amaranthtally.policy import QueuedCall
 
-__all__ = ["FirstInFirstOut"]
+__all__ = ["FifoQueue"]
 
 
-class FirstInFirstOut:
+class FifoQueue:
     """FIFO queue with a constant limit on the calls that run at once."""
 
     def __init__(self, limit: int, capacity: int) -> None:
--- a/tests/experiment/test_experiment.py
+++ b/tests/experiment/test_experiment.py
@@ -28,10 +28,10 @@
     # Mean 3, standard deviation sqrt(2.5), 4 degrees of freedom: 2.7764 * 0.7071.
     interval = estimate([1.0, 2.0, 3.0, 4.0, 5.0])
     assert interval.mean == 3.0
-    assert interval.half == pytest.approx(1.9633, abs=1e-4)
+    assert interval.half_width == pytest.approx(1.9633, abs=1e-4)
     assert interval.excludes_zero
     assert not estimate([-1.0, 1.0]).excludes_zero
-    assert estimate([float(i % 2) for i in range(60)]).half > 0.0
+    assert estimate([float(i % 2) for i in range(60)]).half_width > 0.0
 
 
 def test_paired_interval_is_narrower_than_unpaired():
@@ -39,8 +39,8 @@
     variant = [0.12, 0.53, 0.91]
     paired = paired_difference(variant, reference)
     assert paired.mean == pytest.approx(0.02)
-    assert paired.half == pytest.approx(0.0248, abs=1e-4)
-    assert estimate(variant).half > 20 * paired.half
+    assert paired.half_width == pytest.approx(0.0248, abs=1e-4)
+    assert estimate(variant).half_width > 20 * paired.half_width
     with pytest.raises(ValueError, match="zip"):
         paired_difference(variant, reference[:2])
 
