--- a/packages/operator/src/amaranthtally/operator/replay/scenarios.py
+++ b/packages/operator/src/amaranthtally/operator/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""Makes traces from a deployment file and a seed; scenarios fill a registry."""
+"""Makes traces from a deployment file and a seed; a decorator registers scenarios."""
 
 import random
 import tomllib
@@ -9,9 +9,9 @@
 
 from amaranthtally.operator.replay.errors import TraceError
 from amaranthtally.operator.replay.profiles import (
+    endpoint_plans,
     latency_plan,
     pipeline_plans,
-    place_endpoints,
     pool_plans,
 )
 from amaranthtally.operator.replay.trace import (
@@ -35,7 +35,7 @@
 FLOOD_FACTOR = 25.0
 SLOW_FACTOR = 4.0
 LOAD_LAG_S = 3.0
-# A gigabyte costs as much as one engine slot for 300 seconds.
+# Traffic between regions: a gigabyte costs as much as one engine slot for 300 s.
 REGION_BYTE_PRICE = 3e-7
 ACCOUNT_WEIGHTS = (0.4, 0.3, 0.15, 0.1, 0.05)
 REGION_WEIGHTS = (0.5, 0.3, 0.2)
@@ -52,11 +52,11 @@
 
     @property
     def engines(self) -> list[str]:
-        """Endpoints that are model engines, in order."""
-        return self.of_kind("engine")
+        """Ids of the endpoints that are model engines, in order."""
+        return self.endpoints_of_kind("engine")
 
-    def of_kind(self, kind: str) -> list[str]:
-        """Endpoints of a kind, in order."""
+    def endpoints_of_kind(self, kind: str) -> list[str]:
+        """Return the ids of the endpoints of a kind, in order."""
         pools = {p["name"] for p in self.table["pools"] if p["kind"] == kind}
         return [e.id for e in self.endpoints if e.pool in pools]
 
@@ -76,7 +76,7 @@
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise TraceError(path, str(error)) from error
-    endpoints = place_endpoints(table)
+    endpoints = endpoint_plans(table)
     deployment = _Deployment(table["name"], table, endpoints)
     faults = _SCENARIOS[scenario](deployment)
     header = Header(
@@ -93,7 +93,7 @@
         pipelines=pipeline_plans(table),
         faults=faults,
     )
-    return Trace(header, _arrivals(header))
+    return Trace(header, _make_arrivals(header))
 
 
 # Scenarios
@@ -119,13 +119,13 @@
 
 @_scenario("straggler")
 def _straggler(deployment: _Deployment) -> list[Fault]:
-    struck = [*deployment.engines[:2], *deployment.of_kind("reranker")[:1]]
+    affected = [*deployment.engines[:2], *deployment.endpoints_of_kind("reranker")[:1]]
     return [
         Fault(
             FaultKind.SLOW,
             FAULT_START_S,
             FAULT_END_S,
-            endpoints=struck,
+            endpoints=affected,
             factor=SLOW_FACTOR,
         )
     ]
@@ -134,8 +134,8 @@
 @_scenario("failing")
 def _failing(deployment: _Deployment) -> list[Fault]:
     engines = deployment.engines
-    struck = engines[: round(len(engines) / 3)]
-    return [Fault(FaultKind.FAILING, FAULT_START_S, FAULT_END_S, endpoints=struck)]
+    affected = engines[: round(len(engines) / 3)]
+    return [Fault(FaultKind.FAILING, FAULT_START_S, FAULT_END_S, endpoints=affected)]
 
 
 @_scenario("region-cut")
@@ -173,21 +173,24 @@
 # Arrivals
 
 
-def _arrivals(header: Header) -> list[TraceArrival]:
+def _make_arrivals(header: Header) -> list[TraceArrival]:
+    """Return Poisson arrivals, thinned from the peak rate to the rate at each time."""
     generator = random.Random(f"{header.deployment}/{header.scenario}/{header.seed}")
     arrivals: list[TraceArrival] = []
     at = 0.0
-    peak = _peak_factor(header.faults)
+    peak = _peak_rate_factor(header.faults)
     while True:
         at += generator.expovariate(ARRIVALS_PER_S * peak)
         if at >= header.duration_s:
             return arrivals
-        account = generator.choices(header.accounts, _weights_at(header, at))[0]
-        if generator.random() < _factor_at(header, at) / peak:
-            arrivals.append(_arrival(header, generator, len(arrivals), at, account))
+        account = generator.choices(header.accounts, _account_weights_at(header, at))[0]
+        if generator.random() < _rate_factor_at(header, at) / peak:
+            arrivals.append(
+                _make_arrival(header, generator, len(arrivals), at, account)
+            )
 
 
-def _arrival(
+def _make_arrival(
     header: Header, generator: random.Random, number: int, at: float, account: str
 ) -> TraceArrival:
     side_effect = generator.random() < SIDE_EFFECT_SHARE
@@ -212,7 +215,7 @@
     return any(not stage.repeatable for stage in stages)
 
 
-def _weights_at(header: Header, at: float) -> list[float]:
+def _account_weights_at(header: Header, at: float) -> list[float]:
     weights = list(ACCOUNT_WEIGHTS[: len(header.accounts)])
     for fault in header.faults:
         if fault.kind is FaultKind.FLOOD and fault.start_s <= at < fault.end_s:
@@ -220,15 +223,15 @@
     return weights
 
 
-def _factor_at(header: Header, at: float) -> float:
-    """Return how many times more requests arrive at a time than in steady load."""
-    factor = sum(_weights_at(header, at))
+def _rate_factor_at(header: Header, at: float) -> float:
+    """Return the arrival rate at a time, as a multiple of the steady rate."""
+    factor = sum(_account_weights_at(header, at))
     for fault in header.faults:
         if fault.kind is FaultKind.BURST and fault.start_s <= at < fault.end_s:
             factor *= fault.factor
     return factor
 
 
-def _peak_factor(faults: list[Fault]) -> float:
+def _peak_rate_factor(faults: list[Fault]) -> float:
     factors = [f.factor for f in faults if f.kind in (FaultKind.BURST, FaultKind.FLOOD)]
     return max([1.0, *factors])
