--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handover.py
@@ -30,9 +30,9 @@
     """
     Send each set of records to two peers of the endpoint that it comes from.
 
-    A peer that cannot be reached is replaced by the next in rank, and the handover as a
-    whole is limited in time, so that it does not hold up the shutdown. If no peer stores
-    the records, repeats of the calls are answered with ``unknown``.
+    A peer that cannot be reached is replaced by the next in rank. The handover as a
+    whole is limited in time, so that it does not hold up the shutdown. If no peer
+    stores the records, repeats of the calls are answered with ``unknown``.
     """
     if not keys:
         log.warning("handover_skipped", cause="no handover_keys in the settings")
