--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -38,11 +38,11 @@
 from amaranthtally.daemon.gateway.store_sync import StoreSync
 from amaranthtally.daemon.gateway.transfer_reporter import TransferReporter
 from amaranthtally.daemon.gateway.version_gossip import VersionGossip
-from amaranthtally.daemon.health import answer_scrape
+from amaranthtally.daemon.health import metrics_response
 from amaranthtally.daemon.lifecycle import (
     ReloadSignal,
     StopSignal,
-    run_beside,
+    run_in_background,
     split_address,
     stop_on_signal,
 )
@@ -80,7 +80,7 @@
 # Unsent requests are refused when this much of the grace period is left, in seconds.
 # Their callers have time to retry elsewhere, and requests sent by then can finish.
 REFUSE_MARGIN_S = 3.5
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 # How long to wait for open connections when the process ends, in seconds. aiohttp takes
 # 0 as no limit: a single caller with an idle open connection then kept the process
 # running to the end of its grace period, until it was killed, and delayed its restart.
@@ -98,7 +98,7 @@
     """Serve callers until a stop signal, then finish the requests in flight."""
     async with AsyncExitStack() as stack:
         await stack.enter_async_context(capnp.kj_loop())
-        stack.enter_context(reloads.taken_by(lambda: _reload(path)))
+        stack.enter_context(reloads.handled_by(lambda: _reload(path)))
         stop = stack.enter_context(stop_on_signal())
         gateway = await _start(settings, stack, stop, writer)
         log.info("listening", role="gateway", name=settings.name, **gateway.ports)
@@ -142,7 +142,7 @@
     executor = _new_executor(routing_state, random, session, metrics)
     connections = PeerConnections(settings.name, executor.spawn, executor)
     stack.callback(connections.close)
-    executor.use_peers(connections)
+    executor.set_peer_connections(connections)
 
     configuration = ConfigurationTracker(routing_state.apply_table)
     records = EndpointRecordTracker(
@@ -158,7 +158,7 @@
         executor,
         configuration,
         records,
-        peer_updater.peer_greeted,
+        peer_updater.peer_status_received,
         fetch_newer,
         stop.is_set,
     )
@@ -184,10 +184,10 @@
         gossip.run(),
         peer_updater.prober.run(),
         executor.tick(),
-        connections.run_heartbeat(lambda: executor.peers_to_check),
-        writer.keep_draining(),
+        connections.run_heartbeat(lambda: executor.peers_to_probe),
+        writer.flush_periodically(),
     ]:
-        run_beside(stack, work)
+        run_in_background(stack, work)
 
     def state() -> GatewayState:
         return GatewayState(
@@ -273,7 +273,7 @@
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
     async def answer(request: web.BaseRequest) -> web.StreamResponse:
         metrics.refresh(state())
-        return answer_scrape(request)
+        return metrics_response(request)
 
     return answer
 
@@ -311,7 +311,7 @@
     while gateway.caller_handler.open_responses or gateway.executor.in_flight:
         if asyncio.get_running_loop().time() >= refuse_at:
             gateway.executor.refuse_unsent()
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     gateway.caller_server.pre_shutdown()
 
 
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/handler.py
@@ -137,12 +137,12 @@
 
     def announce_revision(self, revision: int, fetch: SettingsFetcher) -> int:
         """Receive a peer's settings revision and return this process's revision."""
-        self._sync.heard(revision, fetch)
+        self._sync.note_revision(revision, fetch)
         return self._sync.revision
 
     async def run(self, call: StageCall, on_chunk: ChunkHandler) -> StageReply:
         """Run a stage call, or return the reason why it was not run."""
-        self._sync.heard(call.revision)
+        self._sync.note_revision(call.revision)
         reply = await self._run(self._models.with_default_model(call), on_chunk)
         self._metrics.call_ended(reply)
         if self._cache is None:
@@ -154,7 +154,7 @@
         self._tombstones.add(call_id)
         if self.cancel_queued(call_id):
             return self.not_run(call_id, "cancelled before start")
-        return self.reply(call_id, Status.UNKNOWN, reason="not queued")
+        return self.reply(call_id, Status.UNKNOWN, reason="not waiting")
 
     async def query_outcome(
         self, call_key: str, terms: AtMostOnceTerms, query: OutcomeQuery
@@ -240,7 +240,7 @@
         finally:
             self._queued.pop(call.id, None)
         if not may_start:
-            return self.not_run(call.id, "dropped: cannot finish before its deadline")
+            return self.not_run(call.id, "dropped: it could not end in time")
         if not call.repeatable:
             self._at_most_once.started(call.call_key)
         # The time-out is the time that remains now. If it were counted from the call's
@@ -261,7 +261,7 @@
         try:
             result = await call_endpoint(self._adapter, target)
         except BaseException:
-            self._queue.released()
+            self._queue.aborted()
             self._start_next()
             raise
         if result.model_missing:
@@ -299,7 +299,7 @@
         """
         if self._drop_timer is not None:
             self._drop_timer.cancel()
-        drop_at = self._queue.drops_at()
+        drop_at = self._queue.next_drop_at()
         self._drop_timer = None
         if drop_at is not None:
             self._drop_timer = self._loop.call_at(
@@ -310,7 +310,7 @@
         if self._start_futures.pop(queued.serial, None) is not None:
             self._queue.withdraw(queued)
             return
-        self._queue.released()
+        self._queue.aborted()
         self._start_next()
 
     # Replies
--- a/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/model_reconciler.py
@@ -25,7 +25,7 @@
     SidecarSettings,
     Tree,
     longest_deadline_s,
-    needed_models,
+    required_models,
 )
 from amaranthtally.settings.catalogue import ENDPOINT_PREFIX
 from amaranthtally.settings.kinds import Role
@@ -122,7 +122,7 @@
         self._models.apply(plan)
         if plan.blocked_reason:
             self._set_last_order(
-                f"{plan.blocked_reason}; raise model_slots or remove a model"
+                f"{plan.blocked_reason}; raise model_slots or take a model off"
             )
         if self._models.served != before:
             await self._announce()
@@ -133,7 +133,7 @@
         # be unloaded.
         if loaded.models <= frozenset(self._desired.models):
             return frozenset()
-        return needed_models(self._tree, self._settings.endpoint)
+        return required_models(self._tree, self._settings.endpoint)
 
     # One order
 
--- a/tests/at_most_once/test_claims.py
+++ b/tests/at_most_once/test_claims.py
@@ -9,8 +9,8 @@
 import pytest
 
 from amaranthtally.daemon.entry.claim_sweep import ClaimSweeper
-from amaranthtally.daemon.entry.claims import Claim, Claims, claim_path
-from amaranthtally.daemon.entry.outage import LONG_OUTAGE_S, OutageWatch
+from amaranthtally.daemon.entry.claims import Claim, ClaimStore, claim_path
+from amaranthtally.daemon.entry.outage import LONG_OUTAGE_S, OutageDetector
 from amaranthtally.platform import open_key_value
 from amaranthtally.policy.at_most_once import Binding
 from amaranthtally.standins.deployment import STANDINS
@@ -78,13 +78,13 @@
         async with open_platform() as platform:
             old_index = await put_claim(platform, 2 * DAY_S)
             assert await ClaimSweeper(platform, DAY_S, Random(1)).sweep(SHARD) == 1
-            claimed = await Claims(platform).claim(PATH, "b", BINDINGS)
-            assert claimed.ok_value.fresh
+            claimed = await ClaimStore(platform).claim(PATH, "b", BINDINGS)
+            assert claimed.ok_value.is_new
             assert (await platform.delete(PATH, old_index)).ok_value is False
             repeats = await asyncio.gather(
-                *(Claims(platform).claim(PATH, "b", BINDINGS) for _ in range(3))
+                *(ClaimStore(platform).claim(PATH, "b", BINDINGS) for _ in range(3))
             )
-            assert not [repeat for repeat in repeats if repeat.ok_value.fresh]
+            assert not [repeat for repeat in repeats if repeat.ok_value.is_new]
 
     run_async(scenario())
 
@@ -107,16 +107,16 @@
                 at_claim.setattr(
                     time, "time", lambda: wall_clock() + min(clock_error_s, 0)
                 )
-                claimed = await Claims(second_client).claim(PATH, "a", BINDINGS)
-                assert claimed.ok_value.fresh
+                claimed = await ClaimStore(second_client).claim(PATH, "a", BINDINGS)
+                assert claimed.ok_value.is_new
             with monkeypatch.context() as at_sweep:
                 at_sweep.setattr(
                     time, "time", lambda: wall_clock() + max(clock_error_s, 0)
                 )
                 sweeper = ClaimSweeper(platform, DAY_S, Random(1))
                 assert await sweeper.sweep(SHARD) == 0
-            repeat = await Claims(platform).claim(PATH, "a", BINDINGS)
-            assert not repeat.ok_value.fresh
+            repeat = await ClaimStore(platform).claim(PATH, "a", BINDINGS)
+            assert not repeat.ok_value.is_new
 
     run_async(scenario())
 
@@ -130,7 +130,9 @@
     async def scenario():
         async with open_platform("slow=0.7") as platform:
             await put_claim(platform, 0.0)
-            repeat = await Claims(platform).claim(PATH, "a", BINDINGS, LONG_OUTAGE_S)
+            repeat = await ClaimStore(platform).claim(
+                PATH, "a", BINDINGS, LONG_OUTAGE_S
+            )
             assert repeat.ok_value.claim.id == "first"
 
     run_async(scenario())
@@ -141,14 +143,14 @@
     Guards against entries that fill up with waiting callers during a long outage of
     the platform and all write at once when it is back.
     """
-    outage = OutageWatch()
-    outage.failed(0.0)
-    outage.failed(LONG_OUTAGE_S)
+    outage = OutageDetector()
+    outage.note_failure(0.0)
+    outage.note_failure(LONG_OUTAGE_S)
     assert not outage.is_long(LONG_OUTAGE_S)
-    outage.failed(LONG_OUTAGE_S + 1)
+    outage.note_failure(LONG_OUTAGE_S + 1)
     assert outage.is_long(LONG_OUTAGE_S + 1)
-    outage.succeeded()
+    outage.note_success()
     assert not outage.is_long(LONG_OUTAGE_S + 2)
     second_outage_at = 100 * LONG_OUTAGE_S
-    outage.failed(second_outage_at)
+    outage.note_failure(second_outage_at)
     assert not outage.is_long(second_outage_at + 1)
--- a/tests/at_most_once/test_ledger.py
+++ b/tests/at_most_once/test_ledger.py
@@ -166,6 +166,6 @@
     received = ReceivedHandovers(1)
     statuses = []
     for status, final in (("unknown", False), ("finished", True), ("unknown", False)):
-        assert received.take(0.0, handover(status, final))
+        assert received.accept(0.0, handover(status, final))
         statuses.append(received.call(INCARNATION, "one").status)
     assert statuses == ["unknown", "finished", "finished"]
