--- a/packages/wire/src/amaranthtally/wire/gateway_peer.py
+++ b/packages/wire/src/amaranthtally/wire/gateway_peer.py
@@ -48,11 +48,13 @@
     def report_outcomes(self, reports: Sequence[PieceReport]) -> None:
         """Receive the outcomes of jobs that this gateway submitted."""
 
-    def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
+    def release_results(
+        self, results: Sequence[StoredResult], ended_request: str
+    ) -> None:
         """
         Release results that are no longer read.
 
-        ``ended`` is the id of a request that has ended, or empty.
+        ``ended_request`` is the id of a request that has ended, or empty.
         """
 
 
@@ -110,11 +112,11 @@
         await self._send(request)
 
     async def release_results(
-        self, results: Sequence[StoredResult], ended: str
+        self, results: Sequence[StoredResult], ended_request: str
     ) -> None:
         """Release results that are no longer read; name a request that has ended."""
         request = self._gateway.free_request()
-        request.ended = ended
+        request.ended = ended_request
         write_results(request, results)
         await self._send(request)
 
