--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,9 +1,9 @@
-"""What a planner's decisions cost by how many pieces wait, in a simulated burst.
+"""Measure the cost of a planner's decisions by queue length, in a simulated burst.
 
     .venv/bin/python -m bench.decision_cost [--factor X] [--entries N] [FILE.toml]
 
-Prints, for each event, how often it came and its mean processor time in microseconds,
-by the number of pieces that waited at the entry (below 1, 2, 4, and so on).
+Prints, for each event, its count and mean processor time in microseconds, by the number
+of pieces queued at the entry (below 1, 2, 4, and so on).
 """
 
 import argparse
@@ -37,30 +37,30 @@
 MICRO = 1e6
 
 
-class Costs:
+class DecisionCosts:
     """Counts events and their processor time by the length of the queue."""
 
     def __init__(self) -> None:
         self._counts: dict[tuple[str, int], int] = defaultdict(int)
         self._spent_s: dict[tuple[str, int], float] = defaultdict(float)
 
-    def watch(self, event: str) -> None:
-        """Measure a method of planners."""
+    def measure(self, event: str) -> None:
+        """Wrap a method of ``Planner`` to measure its calls."""
         method: Callable[..., Any] = getattr(Planner, event)
 
         @wraps(method)
         def measured(planner: Planner, *args: Any, **options: Any) -> Any:
             key = (event, planner.pieces_waiting.bit_length())
-            began = time.process_time()
+            started_at = time.process_time()
             result = method(planner, *args, **options)
             self._counts[key] += 1
-            self._spent_s[key] += time.process_time() - began
+            self._spent_s[key] += time.process_time() - started_at
             return result
 
         setattr(Planner, event, measured)
 
     def row(self, event: str) -> str:
-        """Return an event's line of the table."""
+        """Return the table row of an event."""
         cells = [
             f"<{2 ** key[1]}: {count}x {self._spent_s[key] / count * MICRO:.0f}"
             for key, count in sorted(self._counts.items())
@@ -70,24 +70,24 @@
 
 
 def main() -> int:
-    """Play one day and print the table."""
+    """Simulate one day and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("file", nargs="?", type=Path, default=EXAMPLE)
     parser.add_argument("--factor", type=float, default=3.0, help="of the burst")
     parser.add_argument("--entries", type=int, default=2, help="in each data centre")
-    given = parser.parse_args()
-    found = read_deployment(given.file)
+    arguments = parser.parse_args()
+    deployment = read_deployment(arguments.file)
     centres = tuple(
-        msgspec.structs.replace(one, entries=given.entries)
-        for one in found.data_centres
+        msgspec.structs.replace(centre, entries=arguments.entries)
+        for centre in deployment.data_centres
     )
-    burst = Fault("burst", 0.0, BURST_S, "", given.factor)
+    burst = Fault("burst", 0.0, BURST_S, "", arguments.factor)
     day = msgspec.structs.replace(
-        found, data_centres=centres, faults=(burst,), seconds=BURST_S
+        deployment, data_centres=centres, faults=(burst,), seconds=BURST_S
     )
-    costs = Costs()
+    costs = DecisionCosts()
     for event in EVENTS:
-        costs.watch(event)
+        costs.measure(event)
     simulate(day, SEED)
     sys.stdout.writelines(costs.row(event) + "\n" for event in EVENTS)
     return 0
--- a/packages/simulator/src/amaranthtally/simulator/__init__.py
+++ b/packages/simulator/src/amaranthtally/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Whole deployments on a virtual clock: the policy unchanged, everything else drawn."""
+"""Simulates deployments on a virtual clock: the real policy, generated workloads."""
--- a/packages/simulator/src/amaranthtally/simulator/attempts.py
+++ b/packages/simulator/src/amaranthtally/simulator/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one entry: sent to endpoints, heard of, withdrawn."""
+"""Sends an entry's attempts to endpoints, reports their outcomes and cancels them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -16,29 +16,30 @@
 )
 from amaranthtally.simulator.processes import Process
 from amaranthtally.simulator.requests import Request
-from amaranthtally.simulator.servers import AnsweringServer, Attempt, Server
+from amaranthtally.simulator.servers import Attempt, RequestServer, Server
 
-__all__ = ["Attempts", "LiveRequest"]
+__all__ = ["AttemptExecutor", "LiveRequest"]
 
-# What an entry waits for a connection that nobody answers, in seconds.
+# Connect timeout of a call to an unreachable endpoint, in seconds.
 CONNECT_TIMEOUT_S = 0.5
 UNREACHABLE = AttemptResult(AttemptOutcome.NOT_RUN, unreachable=True)
 
 
 @dataclass(slots=True)
 class LiveRequest:
-    """A request that an entry has, its attempts, and the events that came."""
+    """A request in progress at an entry: its attempts and its event count."""
 
     request: Request
     attempts: dict[AttemptId, tuple[Server, Attempt]] = field(default_factory=dict)
-    events: int = 0
+    event_count: int = 0
 
 
-class Attempts:
+class AttemptExecutor:
     """
-    Carries out what a planner decides on attempts, and tells it what came of them.
+    Executes a planner's attempt actions and reports the outcomes to the planner.
 
-    ``firsts`` counts first attempts, ``paid_retries`` those after a failure.
+    ``first_attempts`` counts first attempts, ``failure_retries`` the retries that were
+    sent after an attempt failed.
     """
 
     def __init__(
@@ -46,67 +47,71 @@
         process: Process,
         planner: Planner,
         live: dict[str, LiveRequest],
-        carry_out: Callable[[list[Action]], None],
-        on_begin: Callable[[Request], None],
+        execute_actions: Callable[[list[Action]], None],
+        on_first_event: Callable[[Request], None],
     ) -> None:
-        self.firsts = 0
-        self.paid_retries = 0
+        self.first_attempts = 0
+        self.failure_retries = 0
         self._process = process
         self._clock = process.clock
         self._planner = planner
         self._live = live
-        self._carry_out = carry_out
-        self._on_begin = on_begin
+        self._execute_actions = execute_actions
+        self._on_first_event = on_first_event
 
     def send(self, send: Send, server: Server | None) -> None:
-        """Send an attempt; ``None`` where its endpoint is registered no more."""
-        name = send.attempt
-        live = self._live[name.request_id]
-        self.firsts += name.number <= 1
+        """Send an attempt; ``server`` is ``None`` if the endpoint is not registered."""
+        attempt_id = send.attempt
+        live = self._live[attempt_id.request_id]
+        self.first_attempts += attempt_id.number <= 1
         if server is None:
-            self._process.later(0.0, lambda: self.ended(name, UNREACHABLE))
+            self._process.call_later(0.0, lambda: self.ended(attempt_id, UNREACHABLE))
             return
-        inputs = self._planner.inputs_of(name.request_id)
+        inputs = self._planner.inputs_of(attempt_id.request_id)
         attempt = self._new_attempt(send, live.request, server, inputs)
-        live.attempts[name] = (server, attempt)
+        live.attempts[attempt_id] = (server, attempt)
         if self._process.reaches_server(server):
-            self._process.send_to(server.place, lambda: self._arrive(server, attempt))
+            self._process.send_to(
+                server.data_centre, lambda: self._arrive(server, attempt)
+            )
         else:
-            self._process.later(
-                CONNECT_TIMEOUT_S, lambda: self.ended(name, UNREACHABLE)
+            self._process.call_later(
+                CONNECT_TIMEOUT_S, lambda: self.ended(attempt_id, UNREACHABLE)
             )
 
     def cancel(self, cancel: Cancel) -> None:
-        """Withdraw an attempt whose answer is no longer wanted."""
+        """Cancel an attempt whose response is no longer needed."""
         live = self._live.get(cancel.attempt.request_id)
-        found = live.attempts.pop(cancel.attempt, None) if live else None
-        if found is not None:
-            self._withdraw(*found)
+        sent = live.attempts.pop(cancel.attempt, None) if live else None
+        if sent is not None:
+            self._cancel_at_server(*sent)
 
-    def leave(self, live: LiveRequest) -> None:
-        """Withdraw all attempts of a request that has ended."""
+    def cancel_all(self, live: LiveRequest) -> None:
+        """Cancel all attempts of a request that has ended."""
         for server, attempt in live.attempts.values():
-            self._withdraw(server, attempt)
+            self._cancel_at_server(server, attempt)
         live.attempts.clear()
 
-    def ended(self, name: AttemptId, result: AttemptResult) -> None:
-        """Tell the planner how an attempt ended, unless it is withdrawn."""
-        live = self._live.get(name.request_id)
-        if live is None or live.attempts.pop(name, None) is None:
+    def ended(self, attempt_id: AttemptId, result: AttemptResult) -> None:
+        """Report an attempt's outcome to the planner, unless it was cancelled."""
+        live = self._live.get(attempt_id.request_id)
+        if live is None or live.attempts.pop(attempt_id, None) is None:
             return
         if result.outcome is AttemptOutcome.LOST:
-            result = _lost(live.request)
+            result = _lost_result(live.request)
         retries = self._planner.counters.retries
-        self._carry_out(self._planner.reply(self._clock.now, name, result))
+        self._execute_actions(self._planner.reply(self._clock.now, attempt_id, result))
         if result.outcome is AttemptOutcome.FAILED:
-            self.paid_retries += self._planner.counters.retries - retries
+            self.failure_retries += self._planner.counters.retries - retries
 
     def _arrive(self, server: Server, attempt: Attempt) -> None:
-        if attempt.gone:
+        if attempt.is_cancelled:
             return
-        if not server.up:
-            self._process.hear_from(server, lambda: self.ended(attempt.id, UNREACHABLE))
-        elif isinstance(server, AnsweringServer):
+        if not server.is_running:
+            self._process.receive_from(
+                server, lambda: self.ended(attempt.id, UNREACHABLE)
+            )
+        elif isinstance(server, RequestServer):
             server.run(attempt)
 
     def _new_attempt(
@@ -116,38 +121,48 @@
         server: Server,
         inputs: tuple[StoredResult, ...],
     ) -> Attempt:
-        name = send.attempt
-        hear = self._process.hear_from
+        attempt_id = send.attempt
+        receive = self._process.receive_from
         return Attempt(
-            id=name,
+            id=attempt_id,
             request=request,
-            inputs=tuple(one.handle for one in inputs),
-            resume=send.resume_offset,
-            on_load=lambda report: hear(server, lambda: self._heard(server, report)),
-            on_events=lambda count: hear(server, lambda: self._progress(name, count)),
-            on_end=lambda result: hear(server, lambda: self.ended(name, result)),
+            inputs=tuple(result.handle for result in inputs),
+            resume_offset=send.resume_offset,
+            on_load=lambda report: receive(
+                server, lambda: self._load_reported(server, report)
+            ),
+            on_events=lambda count: receive(
+                server, lambda: self._progress(attempt_id, count)
+            ),
+            on_end=lambda result: receive(
+                server, lambda: self.ended(attempt_id, result)
+            ),
         )
 
-    def _heard(self, server: Server, report: LoadReport) -> None:
-        name = server.endpoint.id
-        self._carry_out(self._planner.load_report(self._clock.now, name, report))
+    def _load_reported(self, server: Server, report: LoadReport) -> None:
+        endpoint_id = server.endpoint.id
+        self._execute_actions(
+            self._planner.load_report(self._clock.now, endpoint_id, report)
+        )
 
-    def _progress(self, name: AttemptId, events: int) -> None:
-        live = self._live.get(name.request_id)
-        if live is None or name not in live.attempts:
+    def _progress(self, attempt_id: AttemptId, event_count: int) -> None:
+        live = self._live.get(attempt_id.request_id)
+        if live is None or attempt_id not in live.attempts:
             return
-        if not live.events:
-            self._on_begin(live.request)
-        live.events = max(live.events, events)
-        self._carry_out(self._planner.progress(self._clock.now, name, live.events))
+        if not live.event_count:
+            self._on_first_event(live.request)
+        live.event_count = max(live.event_count, event_count)
+        self._execute_actions(
+            self._planner.progress(self._clock.now, attempt_id, live.event_count)
+        )
 
-    def _withdraw(self, server: Server, attempt: Attempt) -> None:
-        attempt.gone = True
-        if isinstance(server, AnsweringServer) and server.up:
-            self._process.send_to(server.place, lambda: server.cancel(attempt))
+    def _cancel_at_server(self, server: Server, attempt: Attempt) -> None:
+        attempt.is_cancelled = True
+        if isinstance(server, RequestServer) and server.is_running:
+            self._process.send_to(server.data_centre, lambda: server.cancel(attempt))
 
 
-def _lost(request: Request) -> AttemptResult:
-    """Say that nobody can be asked what became of an attempt."""
+def _lost_result(request: Request) -> AttemptResult:
+    """Return the outcome of a lost attempt: unknown if it may have had an effect."""
     is_effect = request.kind.call == "effect"
     return AttemptResult(AttemptOutcome.UNKNOWN if is_effect else AttemptOutcome.FAILED)
--- a/packages/simulator/src/amaranthtally/simulator/callers.py
+++ b/packages/simulator/src/amaranthtally/simulator/callers.py
@@ -1,4 +1,4 @@
-"""Callers: when they come, how long they wait, and that they come back once."""
+"""Simulated callers: arrivals, timeouts and one retry for each request."""
 
 from collections.abc import Callable
 from functools import partial
@@ -9,193 +9,207 @@
 from amaranthtally.simulator.deployment import Deployment, Kind, Range
 from amaranthtally.simulator.requests import Ending, Request, RequestRecord
 
-__all__ = ["Callers", "Drawn"]
+__all__ = ["Callers", "Workload"]
 
-# A caller sends a request twice at most.
-MOST_TRIES = 2
-# A caller whose connection broke comes back after so long, in seconds.
-CUT_RETURN_S = (0.05, 0.3)
-# A caller that finds no entry tries again after so long, in seconds.
-NO_ENTRY_S = 0.1
-# What a request costs, as a part of its worth, that was sent twice in vain.
-TWICE_IN_VAIN = 0.3
-# Parts of prompts are told apart by number: a request's own part is never shared.
-PART_BITS = 62
+# The number of times that a caller sends a request at most, retries included.
+MAX_TRIES = 2
+# Range of the delay before a caller retries after a broken connection, in seconds.
+RECONNECT_DELAY_S = (0.05, 0.3)
+# Delay before a caller retries if no entry accepts requests, in seconds.
+NO_ENTRY_RETRY_S = 0.1
+# Cost of a request that was sent twice without a response, as a share of its worth.
+FAILED_RETRY_COST = 0.3
+# Prompt segments are identified by random numbers of this many bits, wide enough that
+# the unshared segment of a request never equals another one.
+SEGMENT_ID_BITS = 62
 
 
-class Drawn:
-    """What callers send, drawn for one seed: the same whatever the entries do."""
+class Workload:
+    """The requests of a seed; they don't depend on what the entries do."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._seed = seed
         self._deployment = deployment
 
-    def of(self, *names: object) -> Random:
-        """Return random numbers for a purpose of their own."""
+    def random_for(self, *names: object) -> Random:
+        """Return an independent random generator that is seeded by these names."""
         return Random(f"{self._seed}/" + "/".join(str(name) for name in names))
 
     def new_request(self, kind: Kind, number: int, now: float) -> Request:
-        """Return a request of a kind."""
-        random = self.of(kind.name, number)
+        """Return a request of a kind, numbered within the kind."""
+        random = self.random_for(kind.name, number)
         session = random.randrange(kind.sessions)
-        shared = self.of(kind.name, "session", session)
+        shared = self.random_for(kind.name, "session", session)
         sizes = [
-            _between(shared, kind.shared_tokens),
-            _between(random, kind.own_tokens),
+            _draw_int(shared, kind.shared_tokens),
+            _draw_int(random, kind.own_tokens),
+        ]
+        segments = [
+            shared.getrandbits(SEGMENT_ID_BITS),
+            random.getrandbits(SEGMENT_ID_BITS),
         ]
-        parts = [shared.getrandbits(PART_BITS), random.getrandbits(PART_BITS)]
         return Request(
             id=f"{kind.name}-{number}",
             kind=kind,
             arrived_at=now,
-            counts=tuple(_between(random, stage.pieces) for stage in kind.stages),
-            prefix=tuple(p for p, size in zip(parts, sizes, strict=True) if size),
+            counts=tuple(_draw_int(random, stage.pieces) for stage in kind.stages),
+            prefix=tuple(p for p, size in zip(segments, sizes, strict=True) if size),
             sizes=tuple(size for size in sizes if size),
-            tokens=_between(random, kind.answer_tokens),
+            output_tokens=_draw_int(random, kind.answer_tokens),
         )
 
 
 class Callers:
-    """Sends requests to entries by turns of chance, and notes how they end."""
+    """Sends requests to entries at random times, and records how they end."""
 
     def __init__(
         self,
         clock: VirtualClock,
         deployment: Deployment,
-        drawn: Drawn,
+        workload: Workload,
         deliver: Callable[[Request, Random], bool],
-        withdraw: Callable[[Request], None],
+        cancel: Callable[[Request], None],
     ) -> None:
         self.records: list[RequestRecord] = []
-        # Kinds of refused tries, and how long each was held, in seconds.
+        # For each refusal, the request's kind and the seconds from sending to refusal.
         self.refusal_waits: list[tuple[str, float]] = []
         self._clock = clock
         self._deployment = deployment
-        self._drawn = drawn
+        self._workload = workload
         self._deliver = deliver
-        self._withdraw = withdraw
-        self._open: dict[str, Request] = {}
+        self._cancel = cancel
+        self._pending: dict[str, Request] = {}
         self._factors: dict[str, float] = {}
 
     @property
-    def waiting(self) -> int:
-        """Callers that have no answer yet."""
-        return len(self._open)
+    def pending_count(self) -> int:
+        """The number of requests that have not ended."""
+        return len(self._pending)
+
+    def set_rate_factor(self, kind: str, factor: float) -> None:
+        """
+        Multiply the arrival rate of a kind.
 
-    def speed_up(self, kind: str, factor: float) -> None:
-        """Let requests of a kind come so many times as often; empty: all kinds."""
+        An empty name stands for all kinds that have no factor of their own.
+        """
         self._factors[kind] = factor
 
     def start(self) -> None:
-        """Let requests come from now on."""
+        """Schedule the first arrival of each kind."""
         for kind in self._deployment.kinds:
-            random = self._drawn.of(kind.name, "arrivals")
-            self._next(kind, random, 0)
+            random = self._workload.random_for(kind.name, "arrivals")
+            self._schedule_arrival(kind, random, 0)
 
-    def find(self, try_id: str) -> Request | None:
-        """Return a request that waits for the answer to this try."""
-        request = self._open.get(try_id.rpartition(".")[0])
+    def pending_request(self, try_id: str) -> Request | None:
+        """Return the open request whose latest try has this id."""
+        request = self._pending.get(try_id.rpartition(".")[0])
         return request if request is not None and request.try_id == try_id else None
 
-    # Coming
+    # Arrivals
 
-    def _next(self, kind: Kind, random: Random, number: int) -> None:
+    def _schedule_arrival(self, kind: Kind, random: Random, number: int) -> None:
         factor = self._factors.get(kind.name, self._factors.get("", 1.0))
         rate = max(1e-6, kind.rate * factor / kind.clump)
         at = self._clock.now + random.expovariate(rate)
         if at < self._deployment.seconds:
-            self._clock.at(at, lambda: self._come(kind, random, number))
+            self._clock.at(at, lambda: self._arrive(kind, random, number))
 
-    def _come(self, kind: Kind, random: Random, number: int) -> None:
-        for one in range(number, number + kind.clump):
-            self.take(self._drawn.new_request(kind, one, self._clock.now))
-        self._next(kind, random, number + kind.clump)
+    def _arrive(self, kind: Kind, random: Random, number: int) -> None:
+        for index in range(number, number + kind.clump):
+            self.submit(self._workload.new_request(kind, index, self._clock.now))
+        self._schedule_arrival(kind, random, number + kind.clump)
 
-    def take(self, request: Request) -> None:
-        """Let a caller come with a request."""
-        self._open[request.id] = request
-        self._clock.at(request.deadline, partial(self._leave, request))
+    def submit(self, request: Request) -> None:
+        """Send a request and schedule its end at the deadline."""
+        self._pending[request.id] = request
+        self._clock.at(request.deadline, partial(self._abandon, request))
         self._send(request)
 
     def _send(self, request: Request) -> None:
-        if request.id not in self._open:
+        if request.id not in self._pending:
             return
         request.tries += 1
         request.sent_at = self._clock.now
-        request.is_waiting = True
-        if not self._deliver(request, self._drawn.of(request.id, request.tries)):
+        request.awaits_response = True
+        if not self._deliver(
+            request, self._workload.random_for(request.id, request.tries)
+        ):
             request.tries -= 1
-            self._clock.after(NO_ENTRY_S, lambda: self._send(request))
+            self._clock.after(NO_ENTRY_RETRY_S, lambda: self._send(request))
             return
         patience_s = request.kind.patience_s
         if patience_s:
             tries = request.tries
-            self._clock.after(patience_s, lambda: self._lose_patience(request, tries))
+            self._clock.after(patience_s, lambda: self._time_out(request, tries))
 
-    # Leaving
+    # Timeouts
 
-    def _lose_patience(self, request: Request, tries: int) -> None:
-        is_waiting = request.is_waiting and request.tries == tries
-        if is_waiting and request.began_at is None:
-            self._leave(request)
+    def _time_out(self, request: Request, tries: int) -> None:
+        awaits_response = request.awaits_response and request.tries == tries
+        if awaits_response and request.first_event_at is None:
+            self._abandon(request)
 
-    def _leave(self, request: Request) -> None:
-        if request.id in self._open:
-            self._withdraw(request)
+    def _abandon(self, request: Request) -> None:
+        if request.id in self._pending:
+            self._cancel(request)
             self._end(request, Ending.ABANDONED)
 
-    # What comes back
+    # Responses
 
-    def began(self, request: Request) -> None:
-        """Note a stream's first event."""
-        if request.began_at is None:
-            request.began_at = self._clock.now
+    def first_event_received(self, request: Request) -> None:
+        """Record the time of a stream's first event."""
+        if request.first_event_at is None:
+            request.first_event_at = self._clock.now
 
-    def answered(self, request: Request) -> None:
-        """Note a whole answer."""
-        if request.id not in self._open:
+    def response_received(self, request: Request) -> None:
+        """Record a complete response."""
+        if request.id not in self._pending:
             return
-        at = self._clock.now if request.began_at is None else request.began_at
+        at = (
+            self._clock.now
+            if request.first_event_at is None
+            else request.first_event_at
+        )
         is_late = at > request.objective
         self._end(request, Ending.LATE if is_late else Ending.ON_TIME)
 
-    def refused(self, request: Request, refusal: Refuse) -> None:
-        """Come back once when told to, if it may be sent again."""
+    def refusal_received(self, request: Request, refusal: Refuse) -> None:
+        """Retry after the refusal's delay, if the request may be sent again."""
         self.refusal_waits.append(
             (request.kind.name, self._clock.now - request.sent_at)
         )
-        may_return = (
+        may_retry = (
             refusal.outcome is RequestOutcome.NOT_RUN or request.kind.call != "effect"
         )
         wait_s = refusal.retry_after_s
-        self._return(request, wait_s, may_return, Ending.REFUSED)
+        self._retry(request, wait_s, may_retry, Ending.REFUSED)
 
-    def cut_off(self, request: Request) -> None:
-        """Come back once after a broken connection, if it may be sent again."""
-        random = self._drawn.of(request.id, request.tries, "cut")
-        wait_s = random.uniform(*CUT_RETURN_S)
-        may_return = request.kind.call != "effect"
-        self._return(request, wait_s, may_return, Ending.FAILED)
+    def connection_lost(self, request: Request) -> None:
+        """Retry after a broken connection, if the request may be sent again."""
+        random = self._workload.random_for(request.id, request.tries, "cut")
+        wait_s = random.uniform(*RECONNECT_DELAY_S)
+        may_retry = request.kind.call != "effect"
+        self._retry(request, wait_s, may_retry, Ending.FAILED)
 
-    def _return(
-        self, request: Request, wait_s: float, may_return: bool, ending: Ending
+    def _retry(
+        self, request: Request, wait_s: float, may_retry: bool, ending: Ending
     ) -> None:
-        if request.id not in self._open:
+        if request.id not in self._pending:
             return
         has_time = self._clock.now + wait_s < request.deadline
-        if request.tries >= MOST_TRIES or not may_return or not has_time:
+        if request.tries >= MAX_TRIES or not may_retry or not has_time:
             self._end(request, ending)
             return
-        request.began_at = None
-        request.is_waiting = False
+        request.first_event_at = None
+        request.awaits_response = False
         self._clock.after(wait_s, lambda: self._send(request))
 
     def _end(self, request: Request, ending: Ending) -> None:
-        del self._open[request.id]
+        del self._pending[request.id]
         kind = request.kind
         earned = {Ending.ON_TIME: kind.worth, Ending.LATE: kind.late_worth}.get(ending)
         if earned is None:
-            earned = -TWICE_IN_VAIN * kind.worth * (request.tries >= MOST_TRIES)
+            earned = -FAILED_RETRY_COST * kind.worth * (request.tries >= MAX_TRIES)
         self.records.append(
             RequestRecord(
                 kind.name,
@@ -210,5 +224,5 @@
         )
 
 
-def _between(random: Random, bounds: Range) -> int:
+def _draw_int(random: Random, bounds: Range) -> int:
     return random.randint(*bounds)
--- a/packages/simulator/src/amaranthtally/simulator/days.py
+++ b/packages/simulator/src/amaranthtally/simulator/days.py
@@ -1,4 +1,4 @@
-"""Plays a day of a deployment, and sums up what callers got."""
+"""Simulates a day of a deployment and summarises its results."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 from amaranthtally.simulator.faults import plan_faults
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant
 from amaranthtally.simulator.requests import Ending, RequestRecord
-from amaranthtally.simulator.world import World
+from amaranthtally.simulator.world import Simulation
 
 __all__ = ["DayResult", "figure_names", "simulate", "simulate_day"]
 
@@ -18,10 +18,12 @@
 
 class DayResult(msgspec.Struct, frozen=True):
     """
-    What a day was worth, as shares of what was owed, and what was broken.
+    The results of a simulated day, most of them as shares.
 
-    ``worth`` is ``earned`` less ``prices``; ``wasted`` the share of stage time that
-    went to requests without an answer in time.
+    ``earned`` and ``prices`` are shares of the worth of all requests, and ``worth`` is
+    their difference. ``on_time`` and ``refused`` are shares of the requests, ``wasted``
+    is the share of stage time spent on tries without a response, and ``worst_kind`` the
+    least earned share of any kind. ``broken`` lists the violated invariants.
     """
 
     worth: float
@@ -36,28 +38,30 @@
 
 
 def figure_names() -> list[str]:
-    """Return the figures of a day that are shares."""
+    """Return the names of the result fields that are shares."""
     return [f for f in DayResult.__struct_fields__ if f not in ("requests", "broken")]
 
 
-def simulate(deployment: Deployment, seed: int = 1, chosen: Variant = POLICY) -> World:
-    """Return a world whose day is over; raises ``DeploymentError``."""
-    return plan_faults(World(deployment, seed, chosen)).run()
+def simulate(
+    deployment: Deployment, seed: int = 1, policy_variant: Variant = POLICY
+) -> Simulation:
+    """Return a finished simulation; raises ``DeploymentError`` for an unknown fault."""
+    return plan_faults(Simulation(deployment, seed, policy_variant)).run()
 
 
 def simulate_day(
     deployment: Deployment, seed: int, variant_name: str = "policy"
 ) -> DayResult:
-    """Play a day and sum it up; raises ``DeploymentError`` for an unknown fault."""
-    world = simulate(deployment, seed, variant(variant_name))
-    records = world.callers.records
-    owed = sum(one.worth for one in records) or 1.0
-    earned = sum(one.earned for one in records) / owed
-    endings = Counter(one.ending for one in records)
+    """Simulate and summarise a day; raises ``DeploymentError`` for an unknown fault."""
+    simulation = simulate(deployment, seed, variant(variant_name))
+    records = simulation.callers.records
+    total_worth = sum(record.worth for record in records) or 1.0
+    earned = sum(record.earned for record in records) / total_worth
+    endings = Counter(record.ending for record in records)
     count = max(1, len(records))
-    busy_s = sum(server.busy_s for server in world.stage_servers())
-    wasted_s = _wasted_s(world, busy_s)
-    prices = _prices(world, wasted_s) / owed
+    busy_s = sum(server.busy_s for server in simulation.stage_servers())
+    wasted_s = _wasted_s(simulation, busy_s)
+    prices = _prices(simulation, wasted_s) / total_worth
     return DayResult(
         worth=earned - prices,
         earned=earned,
@@ -67,37 +71,38 @@
         wasted=wasted_s / busy_s if busy_s else 0.0,
         worst_kind=_worst_kind(records),
         requests=len(records),
-        broken=tuple(world.promises.broken),
+        broken=tuple(simulation.invariants.violations),
     )
 
 
-def _wasted_s(world: World, busy_s: float) -> float:
-    """Return the stage time that made nothing which an answered request read."""
+def _wasted_s(simulation: Simulation, busy_s: float) -> float:
+    """Return the stage time that did not contribute to a response, in seconds."""
     useful_s = sum(
         record.stage_s / max(1, record.tries)
-        for record in world.callers.records
+        for record in simulation.callers.records
         if record.ending in (Ending.ON_TIME, Ending.LATE)
     )
     return max(0.0, busy_s - useful_s)
 
 
-def _prices(world: World, wasted_s: float) -> float:
-    prices = world.deployment.prices
-    again = world.read_parts.again_tokens / KILO
-    crossed = world.results.crossed_bytes / GIGA
+def _prices(simulation: Simulation, wasted_s: float) -> float:
+    prices = simulation.deployment.prices
+    recomputed = simulation.prefill_tracker.recomputed_tokens / KILO
+    transferred = simulation.results.transferred_bytes / GIGA
     return (
         prices.stage_second * wasted_s
-        + prices.thousand_tokens * again
-        + prices.crossing_gigabyte * crossed
+        + prices.thousand_tokens * recomputed
+        + prices.crossing_gigabyte * transferred
     )
 
 
 def _worst_kind(records: Sequence[RequestRecord]) -> float:
     by_kind: dict[str, list[RequestRecord]] = {}
-    for one in records:
-        by_kind.setdefault(one.kind, []).append(one)
+    for record in records:
+        by_kind.setdefault(record.kind, []).append(record)
     shares = [
-        sum(one.earned for one in of_kind) / sum(one.worth for one in of_kind)
-        for of_kind in by_kind.values()
+        sum(record.earned for record in kind_records)
+        / sum(record.worth for record in kind_records)
+        for kind_records in by_kind.values()
     ]
     return min(shares, default=0.0)
--- a/packages/simulator/src/amaranthtally/simulator/deployment.py
+++ b/packages/simulator/src/amaranthtally/simulator/deployment.py
@@ -1,4 +1,4 @@
-"""Deployments as files: what runs where, what callers ask of it, and what fails."""
+"""Deployment files: pools and entries, the workload, and the faults."""
 
 import tomllib
 from collections import Counter
@@ -27,12 +27,12 @@
     "write_deployment",
 ]
 
-# The least and the most of a whole number that is drawn evenly.
+# Minimum and maximum of an integer that is drawn from a uniform distribution.
 Range = tuple[int, int]
 
 
 class DataCentre(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A data centre and the entries in it."""
+    """A data centre and its number of entries."""
 
     name: str
     region: str
@@ -41,10 +41,11 @@
 
 class PiecePool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Endpoints that make pieces, so many in each data centre; times in seconds.
+    Endpoints that compute pieces; times in seconds.
 
-    A call takes ``call_s`` and ``piece_s`` for each of at most ``batch`` pieces;
-    ``queue`` calls wait. Results share ``memory_bytes`` and live ``result_ttl_s``.
+    Each data centre has ``endpoints`` of them. A call takes ``call_s`` plus ``piece_s``
+    for each of at most ``batch`` pieces; at most ``queue`` calls wait at an endpoint.
+    Results share ``memory_bytes`` and expire after ``result_ttl_s``.
     """
 
     name: str
@@ -59,10 +60,11 @@
 
 class EnginePool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Model engines, so many in each data centre; times in seconds.
+    Model engines; times in seconds.
 
-    A step takes ``step_s`` and ``step_s_per_stream`` for each stream beside it. What
-    an engine says of its load is older by ``report_lag_s``.
+    Each data centre has ``endpoints`` of them. A step that emits a token takes
+    ``step_s`` plus ``step_s_per_stream`` for each running stream. Load reports are
+    refreshed at most every ``report_lag_s``.
     """
 
     name: str
@@ -76,7 +78,7 @@
 
 
 class ServicePool(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Plain services, so many in each data centre, with slots and a queue."""
+    """Plain services with slots and a queue, ``endpoints`` in each data centre."""
 
     name: str
     endpoints: int = 1
@@ -85,7 +87,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A stage of a request's graph; ``after`` counts stages from 0."""
+    """A stage of a request's graph; ``after`` holds indices of its inputs."""
 
     pool: str
     pieces: Range
@@ -95,12 +97,13 @@
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    A kind of request: rate a second, times in seconds, sizes in tokens.
+    A kind of request: rate per second, times in seconds, sizes in tokens.
 
-    An ``effect`` may run once at most. ``worth`` is what an answer by ``objective_s``
-    earns, ``late_worth`` what one by ``deadline_s`` does. Requests come ``clump`` at
-    once. Callers leave after ``patience_s`` without a first event, 0 for never.
-    ``sessions`` share a part of ``shared_tokens`` each.
+    A request of call type ``effect`` may run at most once. A response earns ``worth``
+    by ``objective_s`` and ``late_worth`` by ``deadline_s``. Requests arrive in groups
+    of ``clump``. Callers disconnect after ``patience_s`` without a first event; 0
+    disables this timeout. The requests of each of the ``sessions`` share a prompt
+    prefix of ``shared_tokens``.
     """
 
     name: str
@@ -126,10 +129,10 @@
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Something that goes wrong from ``start_s`` on, for ``length_s`` seconds.
+    A fault that starts at ``start_s`` and lasts ``length_s`` seconds.
 
-    ``target`` names an endpoint, entry, pool or data centre, as the kind of fault
-    needs; ``factor`` says how much.
+    ``target`` names an endpoint, entry, pool, data centre or region, or for ``burst`` a
+    kind of request. ``factor`` is the slowdown of ``slow`` and the rate of ``burst``.
     """
 
     kind: str
@@ -140,7 +143,7 @@
 
 
 class Prices(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is paid for beside answers, in units of worth."""
+    """Costs in units of worth: wasted stage time, repeated prefill and transfers."""
 
     stage_second: float = 1.0
     thousand_tokens: float = 0.3
@@ -148,7 +151,7 @@
 
 
 class Deployment(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A whole deployment and a day of it; delays are one way, in seconds."""
+    """A deployment and one simulated day; delays are one-way, in seconds."""
 
     name: str
     data_centres: tuple[DataCentre, ...]
@@ -167,12 +170,12 @@
 
     @property
     def longest_s(self) -> float:
-        """The longest deadline of a request."""
+        """The longest deadline of any kind, in seconds."""
         return max(kind.deadline_s for kind in self.kinds)
 
     @property
     def serving_pools(self) -> list[str]:
-        """Names of the pools that answer requests."""
+        """Names of the pools that serve requests."""
         engines = [pool.name for pool in self.engine_pools]
         return engines + [pool.name for pool in self.service_pools]
 
@@ -183,15 +186,15 @@
 
 
 def read_deployment(path: Path) -> Deployment:
-    """Read and check a deployment's file; raises ``DeploymentError``."""
+    """Read and check a deployment file; raises ``DeploymentError``."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
-        found = msgspec.convert(table, type=Deployment)
+        deployment = msgspec.convert(table, type=Deployment)
     except (OSError, tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         remedy = "docs/EXPERIMENTS.md lists the fields"
         raise DeploymentError(path, str(error), remedy) from error
-    check_deployment(path, found)
-    return found
+    check_deployment(path, deployment)
+    return deployment
 
 
 def write_deployment(path: Path, deployment: Deployment) -> None:
@@ -199,44 +202,56 @@
     path.write_bytes(msgspec.toml.encode(deployment))
 
 
-def check_deployment(path: Path | str, found: Deployment) -> None:
-    """Raise ``DeploymentError`` where parts of a deployment don't fit together."""
-    if not found.data_centres or not found.kinds:
-        remedy = "name one of each or more"
+def check_deployment(path: Path | str, deployment: Deployment) -> None:
+    """Raise ``DeploymentError`` if a deployment is inconsistent."""
+    if not deployment.data_centres or not deployment.kinds:
+        remedy = "define at least one of each"
         raise DeploymentError(path, "data_centres or kinds is empty", remedy)
-    _check_once(path, "data_centres", [one.name for one in found.data_centres])
-    _check_once(path, "pools", found.pools)
-    _check_once(path, "kinds", [kind.name for kind in found.kinds])
-    for number, kind in enumerate(found.kinds):
-        _check_kind(path, f"kinds[{number}]", kind, found)
-
-
-def _check_kind(path: Path | str, at: str, kind: Kind, found: Deployment) -> None:
-    check_known(path, f"{at}.pool", kind.pool, found.serving_pools)
+    _check_unique(
+        path, "data_centres", [centre.name for centre in deployment.data_centres]
+    )
+    _check_unique(path, "pools", deployment.pools)
+    _check_unique(path, "kinds", [kind.name for kind in deployment.kinds])
+    for number, kind in enumerate(deployment.kinds):
+        _check_kind(path, f"kinds[{number}]", kind, deployment)
+
+
+def _check_kind(
+    path: Path | str, field: str, kind: Kind, deployment: Deployment
+) -> None:
+    check_known(path, f"{field}.pool", kind.pool, deployment.serving_pools)
     if not 0 < kind.objective_s <= kind.deadline_s:
-        detail = f"{at}.objective_s is not between 0 and {at}.deadline_s"
-        raise DeploymentError(path, detail, "give an objective that ends first")
-    pieces = [pool.name for pool in found.piece_pools]
+        detail = f"{field}.objective_s is not between 0 and {field}.deadline_s"
+        raise DeploymentError(
+            path, detail, "set an objective that is at most the deadline"
+        )
+    pieces = [pool.name for pool in deployment.piece_pools]
     for number, stage in enumerate(kind.stages):
-        where = f"{at}.stages[{number}]"
-        check_known(path, f"{where}.pool", stage.pool, pieces)
-        if any(not 0 <= before < number for before in stage.after):
-            remedy = "name stages that stand before it, from 0"
-            raise DeploymentError(path, f"{where}.after is {stage.after}", remedy)
+        stage_field = f"{field}.stages[{number}]"
+        check_known(path, f"{stage_field}.pool", stage.pool, pieces)
+        if any(not 0 <= index < number for index in stage.after):
+            remedy = "use indices of earlier stages, from 0"
+            raise DeploymentError(path, f"{stage_field}.after is {stage.after}", remedy)
         if not 0 <= stage.pieces[0] <= stage.pieces[1]:
-            remedy = "give the least first, from 0"
-            raise DeploymentError(path, f"{where}.pieces is {stage.pieces}", remedy)
-
-
-def check_known(path: Path | str, at: str, name: str, known: Sequence[str]) -> None:
-    """Raise ``DeploymentError`` where a field names what is not there."""
-    if name not in known:
-        remedy = f"choose from {', '.join(known) or 'pools that the file adds'}"
-        raise DeploymentError(path, f"{at} names an unknown {name!r}", remedy)
-
-
-def _check_once(path: Path | str, at: str, names: Iterable[str]) -> None:
-    twice = [name for name, count in Counter(names).items() if count > 1]
-    if twice:
-        detail = f"{at} has {', '.join(twice)} twice"
-        raise DeploymentError(path, detail, "give each a name of its own")
+            remedy = "give the minimum first, at least 0"
+            raise DeploymentError(
+                path, f"{stage_field}.pieces is {stage.pieces}", remedy
+            )
+
+
+def check_known(
+    path: Path | str, field: str, name: str, known_names: Sequence[str]
+) -> None:
+    """Raise ``DeploymentError`` if a field holds an unknown name."""
+    if name not in known_names:
+        remedy = (
+            f"choose from {', '.join(known_names) or 'pools that you add to the file'}"
+        )
+        raise DeploymentError(path, f"{field} names an unknown {name!r}", remedy)
+
+
+def _check_unique(path: Path | str, field: str, names: Iterable[str]) -> None:
+    duplicates = [name for name, count in Counter(names).items() if count > 1]
+    if duplicates:
+        detail = f"{field} has duplicate names: {', '.join(duplicates)}"
+        raise DeploymentError(path, detail, "use unique names")
--- a/packages/simulator/src/amaranthtally/simulator/draw.py
+++ b/packages/simulator/src/amaranthtally/simulator/draw.py
@@ -1,4 +1,4 @@
-"""Deployments that nobody has seen, drawn from a seed."""
+"""Random deployments, drawn from a seed."""
 
 from random import Random
 
@@ -18,13 +18,13 @@
 __all__ = ["draw_deployment"]
 
 CALL_S = 0.2
-# What a full call's pieces take beside the call itself, in seconds.
-FULL_PIECES_S = 0.17
-# Results of the first pool are large, and those of the later ones small, in bytes.
+# Time that the pieces of a full call add to ``CALL_S``, in seconds.
+FULL_BATCH_S = 0.17
+# Result sizes in bytes: large ones of the first pool, small ones of the later pools.
 LARGE_BYTES = 1.5e6
 SMALL_BYTES = (8e3, 60e3, 6e3)
-# Share of what the pools could make that requests ask for on a calm day.
-CALM_LOAD = (0.5, 0.9)
+# Load without a burst, as a share of the pools' capacity.
+BASE_LOAD = (0.5, 0.9)
 FAULT_START_S = (4.0, 12.0)
 FAULT_LENGTH_S = (1.5, 6.0)
 FAULTS = (
@@ -44,18 +44,18 @@
     "store_cut",
 )
 ENTRY_FAULTS = frozenset({"kill", "freeze", "store_cut"})
-EVERYWHERE = frozenset({"kill_all", "rolling_stop"})
+GLOBAL_FAULTS = frozenset({"kill_all", "rolling_stop"})
 
 
 def draw_deployment(
     seed: int, seconds: float = 24.0, faults: int | None = None
 ) -> Deployment:
-    """Return a deployment and a day with a burst; ``faults`` more go wrong."""
+    """Return a deployment with a burst and ``faults`` more; ``None`` draws 1 to 3."""
     random = Random(f"deployment/{seed}")
     centres = _draw_centres(random)
     pools = _draw_piece_pools(random)
     kinds = _draw_kinds(random, pools, len(centres))
-    drawn = Deployment(
+    deployment = Deployment(
         name=f"drawn-{seed}",
         data_centres=centres,
         kinds=kinds,
@@ -65,9 +65,9 @@
         seconds=seconds,
     )
     count = random.randint(1, 3) if faults is None else faults
-    faulty = ["burst", *(random.choice(FAULTS) for _ in range(count))]
-    planned = tuple(_draw_fault(random, drawn, kind) for kind in faulty)
-    return msgspec.structs.replace(drawn, faults=planned)
+    fault_kinds = ["burst", *(random.choice(FAULTS) for _ in range(count))]
+    planned = tuple(_draw_fault(random, deployment, kind) for kind in fault_kinds)
+    return msgspec.structs.replace(deployment, faults=planned)
 
 
 def _draw_centres(random: Random) -> tuple[DataCentre, ...]:
@@ -85,7 +85,7 @@
         PiecePool(
             name=name,
             call_s=CALL_S,
-            piece_s=round(FULL_PIECES_S / batch, 5),
+            piece_s=round(FULL_BATCH_S / batch, 5),
             batch=batch,
             memory_bytes=size * batch * random.uniform(1.2, 2.0),
             endpoints=random.randint(1, 2),
@@ -103,22 +103,27 @@
 def _draw_kinds(
     random: Random, pools: tuple[PiecePool, ...], centres: int
 ) -> tuple[Kind, ...]:
-    load = random.uniform(*CALM_LOAD)
-    shapes = [_large(random), _walk(random), _query(random)]
-    rates = [random.uniform(0.5, 1.5) for _ in shapes]
-    asked = [_pieces_of(stages, pools) for stages in shapes]
-    # What each pool could make, in pieces a second, bounds the rate of all kinds.
-    able = [centres * p.endpoints * p.batch / (CALL_S + FULL_PIECES_S) for p in pools]
-    wanted = [
-        sum(rate * pieces[pool] for rate, pieces in zip(rates, asked, strict=True))
+    load = random.uniform(*BASE_LOAD)
+    graphs = [_large_stages(random), _chain_stages(random), _query_stages(random)]
+    rates = [random.uniform(0.5, 1.5) for _ in graphs]
+    pieces_per_request = [_mean_pieces_by_pool(stages, pools) for stages in graphs]
+    # The capacity of each pool, in pieces per second, limits the rates of all kinds.
+    capacities = [
+        centres * p.endpoints * p.batch / (CALL_S + FULL_BATCH_S) for p in pools
+    ]
+    demands = [
+        sum(
+            rate * pieces[pool]
+            for rate, pieces in zip(rates, pieces_per_request, strict=True)
+        )
         for pool in range(len(pools))
     ]
-    scale = min(a * load / w for a, w in zip(able, wanted, strict=True) if w)
+    scale = min(a * load / w for a, w in zip(capacities, demands, strict=True) if w)
     ranks = random.sample((0, 1, 2), 3)
     streams = [
-        _stream(random, name, rate * scale, rank, stages)
+        _streaming_kind(random, name, rate * scale, rank, stages)
         for name, rate, rank, stages in zip(
-            ("claim", "walk", "query"), rates, ranks, shapes, strict=True
+            ("claim", "walk", "query"), rates, ranks, graphs, strict=True
         )
     ]
     read = Kind("read", "desk", random.uniform(2.0, 8.0), 0.4, 2.0, worth=0.3)
@@ -128,11 +133,11 @@
     return (*streams, read, order)
 
 
-def _large(random: Random) -> tuple[Stage, ...]:
+def _large_stages(random: Random) -> tuple[Stage, ...]:
     return (Stage("catalogue", (0, random.randint(2, 8)), LARGE_BYTES),)
 
 
-def _walk(random: Random) -> tuple[Stage, ...]:
+def _chain_stages(random: Random) -> tuple[Stage, ...]:
     middle, last = random.randint(3, 9), random.randint(6, 16)
     return (
         Stage("catalogue", (1, 1), SMALL_BYTES[0]),
@@ -141,24 +146,26 @@
     )
 
 
-def _query(random: Random) -> tuple[Stage, ...]:
+def _query_stages(random: Random) -> tuple[Stage, ...]:
     large = Stage("catalogue", (0, 2), LARGE_BYTES)
-    rest = _walk(random)
-    moved = [
+    chain = _chain_stages(random)
+    shifted = [
         Stage(s.pool, s.pieces, s.result_bytes, tuple(i + 1 for i in s.after))
-        for s in rest
+        for s in chain
     ]
-    return (large, *moved)
+    return (large, *shifted)
 
 
-def _pieces_of(stages: tuple[Stage, ...], pools: tuple[PiecePool, ...]) -> list[float]:
+def _mean_pieces_by_pool(
+    stages: tuple[Stage, ...], pools: tuple[PiecePool, ...]
+) -> list[float]:
     return [
         sum(sum(stage.pieces) / 2 for stage in stages if stage.pool == pool.name)
         for pool in pools
     ]
 
 
-def _stream(
+def _streaming_kind(
     random: Random, name: str, rate: float, rank: int, stages: tuple[Stage, ...]
 ) -> Kind:
     objective_s = 0.9 + 0.45 * len(stages) + random.uniform(0.0, 0.4)
@@ -184,30 +191,32 @@
     )
 
 
-def _draw_fault(random: Random, drawn: Deployment, kind: str) -> Fault:
+def _draw_fault(random: Random, deployment: Deployment, kind: str) -> Fault:
     return Fault(
         kind=kind,
         start_s=round(random.uniform(*FAULT_START_S), 2),
         length_s=round(random.uniform(*FAULT_LENGTH_S), 2),
-        target=_draw_target(random, drawn, kind),
+        target=_draw_target(random, deployment, kind),
         factor=round(random.uniform(1.5, 4.0), 2),
     )
 
 
-def _draw_target(random: Random, drawn: Deployment, kind: str) -> str:
-    place = random.choice(drawn.data_centres)
-    if kind in EVERYWHERE:
+def _draw_target(random: Random, deployment: Deployment, kind: str) -> str:
+    data_centre = random.choice(deployment.data_centres)
+    if kind in GLOBAL_FAULTS:
         return ""
     if kind in ENTRY_FAULTS:
-        return f"{place.name}/{random.randrange(place.entries)}"
+        return f"{data_centre.name}/{random.randrange(data_centre.entries)}"
     if kind == "cut":
-        return place.name
+        return data_centre.name
     if kind == "burst":
-        return random.choice(("", *(one.name for one in drawn.kinds)))
+        return random.choice(
+            ("", *(request_kind.name for request_kind in deployment.kinds))
+        )
     counts = [
-        *((pool.name, pool.endpoints) for pool in drawn.piece_pools),
-        *((pool.name, pool.endpoints) for pool in drawn.engine_pools),
-        *((pool.name, pool.endpoints) for pool in drawn.service_pools),
+        *((pool.name, pool.endpoints) for pool in deployment.piece_pools),
+        *((pool.name, pool.endpoints) for pool in deployment.engine_pools),
+        *((pool.name, pool.endpoints) for pool in deployment.service_pools),
     ]
     name, count = random.choice(counts)
-    return f"{name}/{place.name}/{random.randrange(count)}"
+    return f"{name}/{data_centre.name}/{random.randrange(count)}"
--- a/packages/simulator/src/amaranthtally/simulator/engines.py
+++ b/packages/simulator/src/amaranthtally/simulator/engines.py
@@ -1,129 +1,131 @@
-"""Model engines: prompts are read, then tokens come, slower the more streams run."""
+"""Model engines: prefill, then decoding that slows down with more streams."""
 
 from collections import OrderedDict
 
 from amaranthtally.policy import AttemptOutcome, AttemptResult, Endpoint, LoadReport
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.deployment import EnginePool
-from amaranthtally.simulator.servers import FULL, AnsweringServer, Attempt
-from amaranthtally.simulator.stage_servers import Results
+from amaranthtally.simulator.servers import OVERLOADED, Attempt, RequestServer
+from amaranthtally.simulator.stage_servers import ResultStore
 
-__all__ = ["ReadParts", "TOKENS_PER_EVENT", "EngineServer"]
+__all__ = ["PrefillTracker", "TOKENS_PER_EVENT", "EngineServer"]
 
-# An event of a stream holds so many tokens: more events show nothing else here.
+# Tokens per stream event; a finer granularity would not change the results.
 TOKENS_PER_EVENT = 8
 
 
-class ReadParts:
-    """Which parts of prompts were read by any engine, and tokens read once more."""
+class PrefillTracker:
+    """Counts prompt tokens whose segment any engine had prefilled before."""
 
     def __init__(self) -> None:
-        self._read: set[int] = set()
-        self.again_tokens = 0
+        self._segments: set[int] = set()
+        self.recomputed_tokens = 0
 
-    def note(self, part: int, tokens: int) -> None:
-        """Note that an engine reads a part that it did not hold."""
-        self.again_tokens += tokens if part in self._read else 0
-        self._read.add(part)
+    def record_prefill(self, segment: int, tokens: int) -> None:
+        """Record the prefill of a segment that was not in the engine's cache."""
+        self.recomputed_tokens += tokens if segment in self._segments else 0
+        self._segments.add(segment)
 
 
-class EngineServer(AnsweringServer):
-    """Reads one prompt at a time, and streams to all whose prompt was read."""
+class EngineServer(RequestServer):
+    """Prefills one prompt at a time, and streams all requests after their prefill."""
 
     def __init__(
         self,
         clock: VirtualClock,
         endpoint: Endpoint,
         pool: EnginePool,
-        results: Results,
-        parts: ReadParts,
+        results: ResultStore,
+        prefill_tracker: PrefillTracker,
     ) -> None:
         super().__init__(clock, endpoint)
         self._pool = pool
         self._results = results
-        self._parts = parts
+        self._prefill_tracker = prefill_tracker
         self._cache: OrderedDict[int, int] = OrderedDict()
         self._running: dict[Attempt, int] = {}
-        self._reading_until = 0.0
+        self._prefill_until = 0.0
         self._reported_at = 0.0
         self._report = self._new_report()
 
     def run(self, attempt: Attempt) -> None:
-        """Run an attempt, or refuse it."""
+        """Start an attempt, or refuse it."""
         attempt.on_load(self._load())
         request = attempt.request
-        tokens = sum(request.sizes) + request.tokens
+        tokens = sum(request.sizes) + request.output_tokens
         used = sum(self._running.values())
         is_full = len(self._running) >= self._pool.slots
         if is_full or used + tokens > self._pool.token_capacity:
-            attempt.on_end(FULL)
+            attempt.on_end(OVERLOADED)
             return
-        if not self._results.all_kept(attempt.inputs):
+        if not self._results.has_all(attempt.inputs):
             attempt.on_end(AttemptResult(AttemptOutcome.NOT_RUN, inputs_missing=True))
             return
-        self._results.read(self.place, attempt.inputs)
+        self._results.read(self.data_centre, attempt.inputs)
         self._running[attempt] = tokens
-        begin = max(self.clock.now, self._reading_until)
-        self._reading_until = begin + self._read_s(attempt)
-        first_s = self._reading_until + self._step_s() - self.clock.now
-        sent = attempt.resume
-        self.after(first_s, lambda: self._emit(attempt, sent + 1))
+        begin = max(self.clock.now, self._prefill_until)
+        self._prefill_until = begin + self._prefill_s(attempt)
+        first_s = self._prefill_until + self._step_s() - self.clock.now
+        resume_offset = attempt.resume_offset
+        self.after(first_s, lambda: self._emit(attempt, resume_offset + 1))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop an attempt at once."""
+        """Stop an attempt immediately."""
         self._running.pop(attempt, None)
 
-    def lose_all(self) -> None:
-        """Drop all streams and what was read."""
+    def discard_state(self) -> None:
+        """Drop all streams and the prefix cache."""
         lost = list(self._running)
         self._running.clear()
         self._cache.clear()
-        self._reading_until = 0.0
+        self._prefill_until = 0.0
         for attempt in lost:
             attempt.on_end(AttemptResult(AttemptOutcome.LOST))
 
-    def _read_s(self, attempt: Attempt) -> float:
+    def _prefill_s(self, attempt: Attempt) -> float:
         tokens = 0
         request = attempt.request
-        for part, size in zip(request.prefix, request.sizes, strict=True):
-            if part in self._cache:
-                self._cache.move_to_end(part)
+        for segment, size in zip(request.prefix, request.sizes, strict=True):
+            if segment in self._cache:
+                self._cache.move_to_end(segment)
                 continue
             tokens += size
-            self._parts.note(part, size)
-            self._cache[part] = size
+            self._prefill_tracker.record_prefill(segment, size)
+            self._cache[segment] = size
         while sum(self._cache.values()) > self._pool.token_capacity // 2:
             self._cache.popitem(last=False)
-        return tokens * self._pool.read_s_per_token * self.slowness
+        return tokens * self._pool.read_s_per_token * self.slowdown
 
     def _step_s(self) -> float:
-        beside_s = self._pool.step_s_per_stream * len(self._running)
-        return (self._pool.step_s + beside_s) * self.slowness
+        streams_s = self._pool.step_s_per_stream * len(self._running)
+        return (self._pool.step_s + streams_s) * self.slowdown
 
     def _emit(self, attempt: Attempt, events: int) -> None:
         if attempt not in self._running:
             return
         attempt.on_events(events)
-        made = 1 + (events - 1) * TOKENS_PER_EVENT
-        left = attempt.request.tokens - made
-        if left <= 0:
+        emitted = 1 + (events - 1) * TOKENS_PER_EVENT
+        remaining = attempt.request.output_tokens - emitted
+        if remaining <= 0:
             self._finish(attempt)
             return
-        next_s = min(left, TOKENS_PER_EVENT) * self._step_s()
+        next_s = min(remaining, TOKENS_PER_EVENT) * self._step_s()
         self.after(next_s, lambda: self._emit(attempt, events + 1))
 
     def _finish(self, attempt: Attempt) -> None:
         del self._running[attempt]
-        if self.loses_answers:
+        if self.drops_responses:
             attempt.on_end(AttemptResult(AttemptOutcome.LOST))
             return
         attempt.on_load(self._load())
         attempt.on_end(
-            AttemptResult(AttemptOutcome.FINISHED, output_bytes=attempt.request.tokens)
+            AttemptResult(
+                AttemptOutcome.FINISHED, output_bytes=attempt.request.output_tokens
+            )
         )
 
     def _load(self) -> LoadReport:
-        """Return what the engine says of itself: a report that is renewed at times."""
+        """Return the latest load report, renewed after ``report_lag_s``."""
         if self.clock.now - self._reported_at >= self._pool.report_lag_s:
             self._reported_at = self.clock.now
             self._report = self._new_report()
--- a/packages/simulator/src/amaranthtally/simulator/errors.py
+++ b/packages/simulator/src/amaranthtally/simulator/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the simulator; each names the remedy."""
+"""Errors of the simulator; each message states a remedy."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 
 class DeploymentError(Exception):
-    """A deployment's file cannot be used."""
+    """A deployment is invalid."""
 
     def __init__(self, path: Path | str, detail: str, remedy: str) -> None:
         super().__init__(f"{path}: {detail}; {remedy}")
--- a/packages/simulator/src/amaranthtally/simulator/fleet.py
+++ b/packages/simulator/src/amaranthtally/simulator/fleet.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterator
 
 from amaranthtally.policy import Endpoint
-from amaranthtally.simulator.callers import Drawn
+from amaranthtally.simulator.callers import Workload
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.deployment import Deployment
-from amaranthtally.simulator.engines import EngineServer, ReadParts
+from amaranthtally.simulator.engines import EngineServer, PrefillTracker
 from amaranthtally.simulator.servers import Server
 from amaranthtally.simulator.services import PlainServer
-from amaranthtally.simulator.stage_servers import Results, StageServer
+from amaranthtally.simulator.stage_servers import ResultStore, StageServer
 
 __all__ = ["build_servers"]
 
@@ -17,24 +17,28 @@
 def build_servers(
     clock: VirtualClock,
     deployment: Deployment,
-    results: Results,
-    parts: ReadParts,
-    drawn: Drawn,
+    results: ResultStore,
+    prefill_tracker: PrefillTracker,
+    workload: Workload,
 ) -> dict[str, Server]:
-    """Return every endpoint of a deployment by its id."""
+    """Return all endpoints of a deployment by id."""
     built: list[Server] = []
     for pieces in deployment.piece_pools:
         for endpoint in _endpoints(deployment, pieces.name, pieces.endpoints):
             built.append(StageServer(clock, endpoint, pieces, results))
     for engines in deployment.engine_pools:
-        places = _endpoints(deployment, engines.name, engines.endpoints, engines.slots)
-        for endpoint in places:
-            built.append(EngineServer(clock, endpoint, engines, results, parts))
+        endpoints = _endpoints(
+            deployment, engines.name, engines.endpoints, engines.slots
+        )
+        for endpoint in endpoints:
+            built.append(
+                EngineServer(clock, endpoint, engines, results, prefill_tracker)
+            )
     for plain in deployment.service_pools:
         for endpoint in _endpoints(
             deployment, plain.name, plain.endpoints, plain.slots
         ):
-            random = drawn.of("service", endpoint.id)
+            random = workload.random_for("service", endpoint.id)
             built.append(PlainServer(clock, endpoint, plain, random))
     return {server.endpoint.id: server for server in built}
 
@@ -42,14 +46,14 @@
 def _endpoints(
     deployment: Deployment, pool: str, count: int, slots: int = 0
 ) -> Iterator[Endpoint]:
-    for place in deployment.data_centres:
+    for data_centre in deployment.data_centres:
         for number in range(count):
             yield Endpoint(
-                id=f"{pool}/{place.name}/{number}",
+                id=f"{pool}/{data_centre.name}/{number}",
                 pool=pool,
-                host=f"host-{pool}-{place.name}-{number}",
-                region=place.region,
-                data_centre=place.name,
+                host=f"host-{pool}-{data_centre.name}-{number}",
+                region=data_centre.region,
+                data_centre=data_centre.name,
                 address="",
                 slots=slots,
             )
--- a/packages/simulator/src/amaranthtally/simulator/mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/mechanisms.py
@@ -1,11 +1,11 @@
 """
-Each mechanism of the policy switched off, by name.
+Variants of the policy, each with one mechanism disabled.
 
-A switch replaces the least that takes its mechanism away and keeps the rest, so that a
-difference is that mechanism's own. None of them is part of the policy.
+A variant replaces only what is needed to disable its mechanism, so that a difference in
+results is due to that mechanism alone. The variants are not part of the policy.
 """
 
-from amaranthtally.simulator import (  # noqa: F401, these fill the registry
+from amaranthtally.simulator import (  # noqa: F401, these register variants
     call_mechanisms,
     place_mechanisms,
     request_mechanisms,
--- a/packages/simulator/src/amaranthtally/simulator/memberships.py
+++ b/packages/simulator/src/amaranthtally/simulator/memberships.py
@@ -1,4 +1,4 @@
-"""Which entries run, which records of them there are, and who hears of changes."""
+"""Runs the entries, keeps their records, and distributes changes to the entries."""
 
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
@@ -7,54 +7,54 @@
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.entries import Entry
 
-__all__ = ["RECORD_S", "Member", "Membership"]
+__all__ = ["RECORD_TTL_S", "ManagedEntry", "EntryManager"]
 
-# How long an entry's record outlives its process, and how soon a change of records is
-# heard, in seconds.
-RECORD_S = 6.0
-HEAR_S = 0.02
-# How long a stopping entry goes on for the requests that it has, in seconds, and how
-# often it is looked at.
-LEAVING_S = 6.0
-POLL_S = 0.05
+# Time until the record of a killed entry expires, and until entries are notified of
+# changed records or settings, in seconds.
+RECORD_TTL_S = 6.0
+NOTIFY_DELAY_S = 0.02
+# Time limit for a stopping entry to finish its requests, and the interval at which this
+# is checked, in seconds.
+DRAIN_TIMEOUT_S = 6.0
+DRAIN_POLL_S = 0.05
 
 
-class Member(NamedTuple):
-    """An entry, and the part of its planner that has pieces made."""
+class ManagedEntry(NamedTuple):
+    """An entry and the piece coordinator of its planner."""
 
     entry: Entry
     coordinator: PieceCoordinator
 
 
-class Membership:
+class EntryManager:
     """
     Starts, stops and kills the entries of a deployment.
 
-    ``start`` makes an entry by its name and place; ``settings_of`` returns what an
-    entry is to use now.
+    ``start`` creates an entry from its name and data centre; ``build_settings`` returns
+    the current settings for both.
     """
 
     def __init__(
         self,
         clock: VirtualClock,
-        places: dict[str, str],
-        start: Callable[[str, str], Member],
-        settings_of: Callable[[str, str], PolicySettings],
+        data_centres: dict[str, str],
+        start: Callable[[str, str], ManagedEntry],
+        build_settings: Callable[[str, str], PolicySettings],
     ) -> None:
         self._clock = clock
-        self._places = places
+        self._data_centres = data_centres
         self._start = start
-        self._settings_of = settings_of
-        self._members: dict[str, Member] = {}
+        self._build_settings = build_settings
+        self._members: dict[str, ManagedEntry] = {}
         self._records: dict[str, Peer] = {}
-        for name in places:
-            self._begin(name)
-        self._tell_peers()
+        for name in data_centres:
+            self._launch(name)
+        self._publish_peers()
 
     @property
     def names(self) -> list[str]:
-        """Return the name of each entry, running or not."""
-        return list(self._places)
+        """The names of all entries, running or not."""
+        return list(self._data_centres)
 
     def __getitem__(self, name: str) -> Entry:
         return self._members[name].entry
@@ -63,90 +63,94 @@
         return (member.entry for member in self._members.values())
 
     def running(self, name: str) -> Entry | None:
-        """Return an entry that runs."""
+        """Return a running entry, ``None`` if the entry is down."""
         member = self._members.get(name)
-        return member.entry if member is not None and member.entry.up else None
+        return member.entry if member is not None and member.entry.is_running else None
 
-    def taking(self) -> list[Member]:
-        """Return the entries that take callers."""
+    def accepting(self) -> list[ManagedEntry]:
+        """Return the running entries that accept callers."""
         return [
             member
             for member in self._members.values()
-            if member.entry.up and not member.entry.leaving
+            if member.entry.is_running and not member.entry.leaving
         ]
 
-    # Starts and ends
+    # Lifecycle
 
     def start(self, name: str) -> None:
-        """Start an entry that is down; it knows nothing."""
-        if not self[name].up:
-            self._begin(name)
+        """Start an entry that is down, with empty state."""
+        if not self[name].is_running:
+            self._launch(name)
             self._records_changed()
 
-    def stop(self, name: str, away_s: float) -> None:
-        """Stop an entry as planned, and start it again a while after its end."""
+    def stop(self, name: str, downtime_s: float) -> None:
+        """Drain and stop an entry, and restart it ``downtime_s`` later."""
         entry = self[name]
-        if not entry.up:
+        if not entry.is_running:
             return
         entry.leave()
-        self._forget(name)
-        self._end_when_idle(entry, self._clock.now + LEAVING_S, away_s)
+        self._remove_record(name)
+        self._end_when_idle(entry, self._clock.now + DRAIN_TIMEOUT_S, downtime_s)
 
     def kill(self, name: str) -> None:
-        """Kill an entry; its record outlives it."""
+        """Kill an entry; its record expires later."""
         entry = self[name]
-        if not entry.up:
+        if not entry.is_running:
             return
         entry.kill()
 
         def expire() -> None:
             if self[name] is entry:
-                self._forget(name)
+                self._remove_record(name)
 
-        self._clock.after(RECORD_S, expire)
+        self._clock.after(RECORD_TTL_S, expire)
 
-    def _begin(self, name: str) -> None:
-        place = self._places[name]
-        self._members[name] = self._start(name, place)
-        self._records[name] = Peer(name, place)
+    def _launch(self, name: str) -> None:
+        data_centre = self._data_centres[name]
+        self._members[name] = self._start(name, data_centre)
+        self._records[name] = Peer(name, data_centre)
 
-    def _end_when_idle(self, entry: Entry, end: float, away_s: float) -> None:
+    def _end_when_idle(self, entry: Entry, end: float, downtime_s: float) -> None:
         if entry.in_flight and self._clock.now < end:
-            self._clock.after(POLL_S, lambda: self._end_when_idle(entry, end, away_s))
+            self._clock.after(
+                DRAIN_POLL_S, lambda: self._end_when_idle(entry, end, downtime_s)
+            )
             return
         entry.kill()
-        self._clock.after(away_s, lambda: self.start(entry.name))
+        self._clock.after(downtime_s, lambda: self.start(entry.name))
 
-    # Who hears of what
+    # Notifications
 
-    def cut_from_store(self, name: str) -> None:
-        """Let an entry hear of no change."""
-        self[name].is_cut_from_store = True
+    def disconnect_store(self, name: str) -> None:
+        """Stop notifications to an entry."""
+        self[name].is_store_disconnected = True
 
-    def hear_store(self, name: str) -> None:
-        """Let an entry hear of all that changed."""
-        self[name].is_cut_from_store = False
-        self._tell_peers()
-        self._tell_settings()
+    def reconnect_store(self, name: str) -> None:
+        """Resume notifications to an entry, and send the current state."""
+        self[name].is_store_disconnected = False
+        self._publish_peers()
+        self._publish_settings()
 
     def settings_changed(self) -> None:
-        """Let all entries hear of newer settings."""
-        self._clock.after(HEAR_S, self._tell_settings)
+        """Notify all entries of newer settings."""
+        self._clock.after(NOTIFY_DELAY_S, self._publish_settings)
 
-    def _forget(self, name: str) -> None:
+    def _remove_record(self, name: str) -> None:
         self._records.pop(name, None)
         self._records_changed()
 
     def _records_changed(self) -> None:
-        self._clock.after(HEAR_S, self._tell_peers)
+        self._clock.after(NOTIFY_DELAY_S, self._publish_peers)
 
-    def _tell_peers(self) -> None:
+    def _publish_peers(self) -> None:
         peers = list(self._records.values())
         for entry in self:
-            if not entry.is_cut_from_store:
+            if not entry.is_store_disconnected:
                 entry.peers_changed(peers)
 
-    def _tell_settings(self) -> None:
+    def _publish_settings(self) -> None:
         for entry in self:
-            if not entry.is_cut_from_store:
-                entry.settings_changed(self._settings_of(entry.name, entry.place))
+            if not entry.is_store_disconnected:
+                entry.settings_changed(
+                    self._build_settings(entry.name, entry.data_centre)
+                )
--- a/packages/simulator/src/amaranthtally/simulator/network.py
+++ b/packages/simulator/src/amaranthtally/simulator/network.py
@@ -1,4 +1,4 @@
-"""How long messages take between places, and which places are cut off."""
+"""Message delays between data centres, and network partitions."""
 
 from collections.abc import Iterable
 
@@ -8,34 +8,34 @@
 
 
 class Network:
-    """Delays between data centres; a cut parts some of them from the others."""
+    """Delays between data centres; a partition separates some from the others."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._near_s = deployment.near_s
         self._region_s = deployment.region_s
         self._far_s = deployment.far_s
-        self._places = {one.name: one for one in deployment.data_centres}
-        self._cut: set[str] = set()
+        self._data_centres = {centre.name: centre for centre in deployment.data_centres}
+        self._isolated: set[str] = set()
 
-    def place(self, name: str) -> DataCentre:
+    def data_centre(self, name: str) -> DataCentre:
         """Return a data centre by name."""
-        return self._places[name]
+        return self._data_centres[name]
 
-    def delay_s(self, here: str, there: str) -> float:
-        """Return how long a message takes one way, in seconds."""
-        if here == there:
+    def delay_s(self, source: str, target: str) -> float:
+        """Return the one-way delay of a message, in seconds."""
+        if source == target:
             return self._near_s
-        one, other = self._places[here], self._places[there]
-        return self._region_s if one.region == other.region else self._far_s
+        first, second = self._data_centres[source], self._data_centres[target]
+        return self._region_s if first.region == second.region else self._far_s
 
-    def reaches(self, here: str, there: str) -> bool:
-        """Whether messages go from one data centre to another."""
-        return (here in self._cut) == (there in self._cut)
+    def reaches(self, source: str, target: str) -> bool:
+        """Whether messages pass between two data centres."""
+        return (source in self._isolated) == (target in self._isolated)
 
-    def cut(self, places: Iterable[str]) -> None:
-        """Part these data centres from all others."""
-        self._cut |= set(places)
+    def disconnect(self, data_centres: Iterable[str]) -> None:
+        """Disconnect these data centres from all others."""
+        self._isolated |= set(data_centres)
 
-    def heal(self, places: Iterable[str]) -> None:
-        """Join these data centres with the others again."""
-        self._cut -= set(places)
+    def reconnect(self, data_centres: Iterable[str]) -> None:
+        """Connect these data centres to the others again."""
+        self._isolated -= set(data_centres)
--- a/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/place_mechanisms.py
@@ -1,4 +1,4 @@
-"""The policy without what decides where pieces are made, and by whom."""
+"""Variants of the policy without one of the mechanisms that choose pool sites."""
 
 from collections.abc import Mapping
 
@@ -6,23 +6,23 @@
 from amaranthtally.policy.piece_graph import PieceGraph
 from amaranthtally.policy.pool_sites import NO_SAVED_BYTES, PoolSites
 from amaranthtally.policy.stage_plans import StagePlans
-from amaranthtally.simulator.variants import of_places, of_plans, without
+from amaranthtally.simulator.variants import with_plans, with_sites, without
 
 __all__: list[str] = []
 
 
-@without("owners", of_places)
-class WithoutOwners(PoolSites):
-    """Calls every endpoint itself, whatever the other entries do."""
+@without("owners", with_sites)
+class NoOwners(PoolSites):
+    """Lets each entry call all endpoints itself, without submitting jobs to owners."""
 
     def owner(self, now: float, pool: str, data_centre: str) -> str:
-        """Return this entry."""
+        """Return the empty name, which stands for this entry."""
         return ""
 
 
-@without("placing of each stage", of_plans)
-class FirstStagePlace(StagePlans):
-    """Leaves a request where its first stage ran."""
+@without("placing of each stage", with_plans)
+class FirstStageSite(StagePlans):
+    """Runs all stages of a request where its first stage ran."""
 
     def choose_data_centre(
         self,
@@ -33,16 +33,16 @@
         on_time_by: float,
         rank: int,
     ) -> str | None:
-        """Return where most of what the stage reads is kept."""
+        """Return the data centre of the stage's first input."""
         inputs = graph.inputs_of_stage(stage)
         if inputs:
             return inputs[0].data_centre
         return super().choose_data_centre(now, graph, stage, reader, on_time_by, rank)
 
 
-@without("weight of crossing", of_places)
-class WithoutCrossing(PoolSites):
-    """Takes no account of where results are read."""
+@without("weight of crossing", with_sites)
+class IgnoreTransferCost(PoolSites):
+    """Ignores the cost of transfers between data centres."""
 
     def best_data_centre(
         self,
@@ -53,21 +53,21 @@
         spare_s: float = 0.0,
         rank: int = 0,
     ) -> str | None:
-        """Return the data centre in which pieces wait least."""
+        """Return the data centre with the shortest wait."""
         return super().best_data_centre(now, pool, candidates, rank=rank)
 
 
-@without("doubts about peers", of_places)
-class WithoutDoubts(PoolSites):
-    """Goes on to ask peers that did not answer."""
+@without("doubts about peers", with_sites)
+class IgnorePeerFailures(PoolSites):
+    """Keeps submitting jobs to peers that did not answer."""
 
     def peer_failed(self, now: float, peer: str) -> None:
-        """Forget that a peer did not answer."""
+        """Ignore the failure."""
 
 
-@without("waits by rank", of_places)
-class WaitsWithoutRank(PoolSites):
-    """Knows one wait of a place for all ranks."""
+@without("waits by rank", with_sites)
+class RanklessWaits(PoolSites):
+    """Tracks one wait per pool site for all ranks."""
 
     def update_wait(
         self,
@@ -78,11 +78,11 @@
         slowdown_s: float = 0.0,
         rank: int = 0,
     ) -> None:
-        """Learn a wait as if it were that of every rank."""
+        """Record a wait as that of rank 0."""
         super().update_wait(now, pool, data_centre, wait_s, slowdown_s)
 
     def note_submitted(
         self, now: float, pool: str, data_centre: str, added_s: float, rank: int = 0
     ) -> None:
-        """Count what was asked for in any rank."""
+        """Record submitted work as that of rank 0."""
         super().note_submitted(now, pool, data_centre, added_s)
--- a/packages/simulator/src/amaranthtally/simulator/policy_terms.py
+++ b/packages/simulator/src/amaranthtally/simulator/policy_terms.py
@@ -1,4 +1,4 @@
-"""A deployment's kinds, pools and requests in the policy's own terms."""
+"""Converts a deployment's kinds, pools and requests into the policy's types."""
 
 from typing import NamedTuple
 
@@ -20,7 +20,7 @@
 from amaranthtally.simulator.deployment import Deployment, Kind, PiecePool
 from amaranthtally.simulator.requests import Request
 
-__all__ = ["KindTerms", "policy_arrival", "policy_pools", "policy_terms"]
+__all__ = ["KindRouting", "policy_arrival", "policy_pools", "kind_routing"]
 
 ACCOUNT = "account"
 INPUT_BYTES = 500
@@ -31,15 +31,15 @@
 }
 
 
-class KindTerms(NamedTuple):
-    """A kind of request as gateways know it."""
+class KindRouting(NamedTuple):
+    """The route of a kind of request and its pipeline."""
 
     route: Route
     pipeline: Pipeline
 
 
 def policy_pools(deployment: Deployment) -> dict[str, Pool]:
-    """Return the limits of each pool."""
+    """Return the policy's pools by name."""
     pools = {
         pool.name: Pool(pool.name, pieces=_piece_limits(pool))
         for pool in deployment.piece_pools
@@ -52,8 +52,8 @@
     return pools
 
 
-def policy_terms(kind: Kind) -> KindTerms:
-    """Return a kind's route, and the pipeline of its requests."""
+def kind_routing(kind: Kind) -> KindRouting:
+    """Return the route and the pipeline of a kind."""
     call_kind = CALL_KINDS[kind.call]
     route = Route(
         name=kind.name,
@@ -72,17 +72,17 @@
         ),
         is_resumable=call_kind is CallKind.STREAMING and kind.resumable,
     )
-    return KindTerms(route, route_pipeline(route, kind.pool))
+    return KindRouting(route, route_pipeline(route, kind.pool))
 
 
-def policy_arrival(request: Request, terms: KindTerms, now: float) -> Arrival:
-    """Return a request that arrives at a time stamp."""
-    stages = terms.route.stages
+def policy_arrival(request: Request, routing: KindRouting, now: float) -> Arrival:
+    """Return the arrival of a request at a time in seconds."""
+    stages = routing.route.stages
     return route_arrival(
         now,
         max(now, request.deadline - RESPONSE_MARGIN_S),
-        terms.route,
-        terms.pipeline,
+        routing.route,
+        routing.pipeline,
         request_id=request.try_id,
         account=ACCOUNT,
         rank=request.kind.priority,
--- a/packages/simulator/src/amaranthtally/simulator/processes.py
+++ b/packages/simulator/src/amaranthtally/simulator/processes.py
@@ -1,4 +1,4 @@
-"""A process of a deployment: it can stand still, be killed, and be out of reach."""
+"""A process of a deployment that can be frozen, terminated or unreachable."""
 
 from collections.abc import Callable
 
@@ -11,73 +11,77 @@
 
 class Process:
     """
-    One process from its start to its end; another start is another object.
+    One run of a process; each restart creates another object.
 
-    ``up`` is false once it is gone. A frozen one does nothing until it is thawed, and
-    then all that came; ``thawed_at`` is when that was.
+    ``is_running`` is false after termination. A frozen process queues its callbacks and
+    executes them when it resumes; ``resumed_at`` is the last time of that.
     """
 
-    def __init__(self, place: str, clock: VirtualClock, network: Network) -> None:
-        self.place = place
+    def __init__(self, data_centre: str, clock: VirtualClock, network: Network) -> None:
+        self.data_centre = data_centre
         self.clock = clock
-        self.up = True
-        self.thawed_at = 0.0
+        self.is_running = True
+        self.resumed_at = 0.0
         self._network = network
         self._backlog: list[Callable[[], None]] | None = None
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it stands still."""
+        """Whether the process is frozen."""
         return self._backlog is not None
 
     def freeze(self) -> None:
-        """Stand still; what comes waits."""
+        """Queue all callbacks until the process resumes."""
         self._backlog = []
 
-    def thaw(self) -> None:
-        """Do all that waited."""
+    def resume(self) -> None:
+        """Execute the queued callbacks in order."""
         backlog, self._backlog = self._backlog or [], None
-        self.thawed_at = self.clock.now
-        for work in backlog:
-            self.do(work)
+        self.resumed_at = self.clock.now
+        for callback in backlog:
+            self.execute(callback)
 
-    def end(self) -> None:
-        """Do nothing any more."""
-        self.up = False
+    def terminate(self) -> None:
+        """Drop the queued callbacks and ignore all later ones."""
+        self.is_running = False
         self._backlog = None
 
-    def do(self, work: Callable[[], None]) -> None:
-        """Do something at once, or when the process moves again, or never."""
-        if not self.up:
+    def execute(self, callback: Callable[[], None]) -> None:
+        """
+        Execute a callback immediately.
+
+        A frozen process executes it on resumption, a terminated one never.
+        """
+        if not self.is_running:
             return
         if self._backlog is not None:
-            self._backlog.append(work)
+            self._backlog.append(callback)
         else:
-            work()
+            callback()
 
-    def later(self, delay_s: float, work: Callable[[], None]) -> None:
-        """Do something after a delay in seconds."""
-        self.clock.after(delay_s, lambda: self.do(work))
+    def call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Execute a callback after a delay in seconds."""
+        self.clock.after(delay_s, lambda: self.execute(callback))
 
-    # Reach
+    # Network
 
-    def reaches(self, place: str) -> bool:
-        """Whether messages go to a data centre."""
-        return self._network.reaches(self.place, place)
+    def reaches(self, data_centre: str) -> bool:
+        """Whether messages reach a data centre."""
+        return self._network.reaches(self.data_centre, data_centre)
 
     def reaches_server(self, server: Server) -> bool:
-        """Whether messages go to an endpoint, and back."""
-        return not server.dark and self.reaches(server.place)
+        """Whether messages reach an endpoint."""
+        return not server.is_unreachable and self.reaches(server.data_centre)
 
-    def delay_s(self, place: str) -> float:
-        """Return how long a message to a data centre takes, in seconds."""
-        return self._network.delay_s(self.place, place)
+    def delay_s(self, data_centre: str) -> float:
+        """Return the one-way delay to a data centre, in seconds."""
+        return self._network.delay_s(self.data_centre, data_centre)
 
-    def send_to(self, place: str, work: Callable[[], None]) -> None:
-        """Let a message arrive in a data centre."""
-        self.clock.after(self.delay_s(place), work)
+    def send_to(self, data_centre: str, callback: Callable[[], None]) -> None:
+        """Send a message: run a callback after the delay to a data centre."""
+        self.clock.after(self.delay_s(data_centre), callback)
 
-    def hear_from(self, server: Server, work: Callable[[], None]) -> None:
-        """Take an endpoint's message after its way, if there is one."""
+    def receive_from(self, server: Server, callback: Callable[[], None]) -> None:
+        """Receive an endpoint's message after its delay; drop it if unreachable."""
         if self.reaches_server(server):
-            self.later(self.delay_s(server.place), work)
+            self.call_later(self.delay_s(server.data_centre), callback)
--- a/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
@@ -1,4 +1,4 @@
-"""The policy without what decides on requests and their attempts."""
+"""Variants of the policy without one of the mechanisms for requests and attempts."""
 
 from dataclasses import replace
 
@@ -9,92 +9,92 @@
 from amaranthtally.policy.requests import Request
 from amaranthtally.policy.routing import Router
 from amaranthtally.simulator.variants import (
-    of_arrivals,
-    of_ejections,
-    of_inputs,
-    of_router,
-    of_settings,
+    with_arrivals,
+    with_ejections,
+    with_inputs,
+    with_router,
+    with_settings,
     without,
 )
 
 __all__ = ["UNBOUNDED_BUDGET", "WithoutEjections"]
 
-# Earned by each first attempt: more than any request can spend.
+# Retry budget earned by each first attempt; more than any request can spend.
 UNBOUNDED_BUDGET = 64.0
 
 
-@without("admission by stages", of_inputs)
+@without("admission by stages", with_inputs)
 class WithoutAdmission(RequestInputs):
-    """Takes in every request, whatever its pieces would wait."""
+    """Admits every request, regardless of the wait for its pieces."""
 
     def decide(
         self, now: float, arrival: Arrival, work: PieceWork
     ) -> AdmissionDecision:
-        """Admit."""
+        """Return the admitting decision."""
         return ADMITTED
 
 
-@without("freeing before the first event", of_inputs)
+@without("freeing before the first event", with_inputs)
 class LateFreeing(RequestInputs):
     """Keeps a request's inputs until its first event."""
 
     def note_sent(self, now: float, request: Request) -> None:
-        """Note nothing."""
+        """Do nothing: the inputs are not freed yet."""
 
 
 # Attempts
 
 
-@without("ejection", of_ejections)
+@without("ejection", with_ejections)
 class WithoutEjections(Ejections):
-    """Ejects nothing."""
+    """Never ejects an endpoint."""
 
     def failed(self, now: float, endpoint: str, pool: str, pool_size: int) -> bool:
-        """Forget the failure."""
+        """Ignore the failure."""
         return False
 
 
-@without("affinity", of_router)
+@without("affinity", with_router)
 class WithoutAffinity(Router):
-    """Chooses engines like any other endpoint."""
+    """Chooses engines without regard to their prefix caches."""
 
 
-@without("hedges", of_settings)
+@without("hedges", with_settings)
 def without_hedges(settings: PolicySettings) -> PolicySettings:
-    """Return settings that allow no second attempt beside a slow one."""
+    """Return settings that allow no second attempt during a slow one."""
     return replace(settings, hedge_budget=0.0, hedge_reserve=0.0)
 
 
-@without("bound of retries", of_settings)
+@without("bound of retries", with_settings)
 def without_bound(settings: PolicySettings) -> PolicySettings:
     """Return settings that allow any number of retries."""
     return replace(settings, retry_budget=UNBOUNDED_BUDGET)
 
 
-@without("retries", of_settings)
+@without("retries", with_settings)
 def without_retries(settings: PolicySettings) -> PolicySettings:
     """Return settings that allow no retry."""
     return replace(settings, retry_budget=0.0, retry_reserve=0.0)
 
 
-# What arrivals say
+# Arrivals
 
 
-@without("ranks", of_arrivals)
+@without("ranks", with_arrivals)
 def without_rank(arrival: Arrival) -> Arrival:
-    """Return an arrival as urgent as any other."""
+    """Return an arrival with priority 0."""
     return replace(arrival, priority=0)
 
 
-@without("patience", of_arrivals)
+@without("patience", with_arrivals)
 def without_patience(arrival: Arrival) -> Arrival:
-    """Return an arrival whose caller stays to its deadline."""
+    """Return an arrival whose caller waits until the deadline."""
     return replace(arrival, caller_timeout_at=0.0)
 
 
-@without("resumption", of_arrivals)
+@without("resumption", with_arrivals)
 def without_resumption(arrival: Arrival) -> Arrival:
-    """Return an arrival whose stream is not sent again."""
+    """Return an arrival whose stream is not resumed by another attempt."""
     if not arrival.streaming:
         return arrival
     pipeline = arrival.pipeline
--- a/packages/simulator/src/amaranthtally/simulator/requests.py
+++ b/packages/simulator/src/amaranthtally/simulator/requests.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and how it ended."""
+"""A caller's request, and the record of how it ended."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -21,12 +21,13 @@
 @dataclass(slots=True, eq=False)
 class Request:
     """
-    A request as its caller knows it; times are time stamps in seconds.
+    A request from its caller's view; times in seconds.
 
-    ``counts`` are the pieces of each stage, ``prefix`` the parts of its prompt with
-    their ``sizes`` in tokens. ``tries`` counts how often it was sent, last at
-    ``sent_at``; ``is_waiting`` says that it waits for an answer now, and ``began_at``
-    is when its first event came.
+    ``counts`` holds the number of pieces of each stage, ``prefix`` the ids of the
+    prompt segments and ``sizes`` their sizes in tokens. ``tries`` counts how often it
+    was sent, last at ``sent_at``; ``awaits_response`` is false between tries.
+    ``first_event_at`` is the time of the first event of the current try, and
+    ``stage_s`` the stage time spent on the request.
     """
 
     id: str
@@ -35,32 +36,32 @@
     counts: tuple[int, ...]
     prefix: tuple[int, ...]
     sizes: tuple[int, ...]
-    tokens: int
+    output_tokens: int
     tries: int = 0
     sent_at: float = 0.0
-    is_waiting: bool = False
-    began_at: float | None = None
+    awaits_response: bool = False
+    first_event_at: float | None = None
     stage_s: float = 0.0
 
     @property
     def deadline(self) -> float:
-        """When its caller leaves."""
+        """The time at which the caller disconnects."""
         return self.arrived_at + self.kind.deadline_s
 
     @property
     def objective(self) -> float:
-        """When its answer is late."""
+        """The time after which a response is late."""
         return self.arrived_at + self.kind.objective_s
 
     @property
     def try_id(self) -> str:
-        """Its id at entries, another one each time it is sent."""
+        """The id of the current try, different each time the request is sent."""
         return f"{self.id}.{self.tries}"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """The end of a request: what it was worth, and what was spent on it."""
+    """How a request ended, its worth, what it earned and the stage time spent on it."""
 
     kind: str
     ending: Ending
--- a/packages/simulator/src/amaranthtally/simulator/servers.py
+++ b/packages/simulator/src/amaranthtally/simulator/servers.py
@@ -1,4 +1,4 @@
-"""What every endpoint of a deployment shares: its place, its state and its faults."""
+"""Base classes of simulated endpoints, with their state and faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,109 +13,110 @@
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.requests import Request
 
-__all__ = ["FULL", "AnsweringServer", "Attempt", "Server"]
+__all__ = ["OVERLOADED", "RequestServer", "Attempt", "Server"]
 
-# What a full endpoint answers: it was not run, and may be sent again after a time.
-FULL = AttemptResult(AttemptOutcome.NOT_RUN, retry_after_s=0.5)
+# Result of a full endpoint: the attempt was not run, and may be sent again later.
+OVERLOADED = AttemptResult(AttemptOutcome.NOT_RUN, retry_after_s=0.5)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """
-    An attempt as an endpoint has it.
+    An attempt at an endpoint.
 
-    ``inputs`` are handles of results that it reads, ``resume`` the events that its
-    caller has. ``on_load`` is told a report, ``on_events`` how many events of its
-    stream there are, ``on_end`` how it ended. ``gone`` says that its entry has left.
+    ``inputs`` holds the handles of the results that it reads, ``resume_offset`` the
+    number of events that the caller already has. ``on_load`` is called with load
+    reports, ``on_events`` with the number of events of the stream, and ``on_end`` with
+    the result. ``is_cancelled`` is true after the entry has cancelled it.
     """
 
     id: AttemptId
     request: Request
     inputs: tuple[str, ...]
-    resume: int
+    resume_offset: int
     on_load: Callable[[LoadReport], None]
     on_events: Callable[[int], None]
     on_end: Callable[[AttemptResult], None]
-    gone: bool = False
+    is_cancelled: bool = False
 
 
 class Server:
     """
-    An endpoint on the virtual clock.
+    A simulated endpoint.
 
-    ``up`` is false while its process is gone, ``dark`` true while no message comes
-    through, ``slowness`` how many times as long as usual its work takes, and
-    ``loses_answers`` true while connections break before an answer.
+    ``is_running`` is false while its process is down, ``is_unreachable`` true while no
+    messages reach it. ``slowdown`` multiplies the duration of its work.
+    ``drops_responses`` is true while connections break before the response.
     """
 
     def __init__(self, clock: VirtualClock, endpoint: Endpoint) -> None:
         self.clock = clock
         self.endpoint = endpoint
-        self.up = True
-        self.dark = False
-        self.slowness = 1.0
-        self.loses_answers = False
-        self._hung: list[Callable[[], None]] | None = None
-        self._starts = 0
+        self.is_running = True
+        self.is_unreachable = False
+        self.slowdown = 1.0
+        self.drops_responses = False
+        self._deferred: list[Callable[[], None]] | None = None
+        self._crash_count = 0
 
     @property
-    def place(self) -> str:
-        """Its data centre."""
+    def data_centre(self) -> str:
+        """The endpoint's data centre."""
         return self.endpoint.data_centre
 
     def hang(self) -> None:
-        """Take work and finish none, until it is thawed."""
-        self._hung = []
+        """Accept work, but finish none until ``resume``."""
+        self._deferred = []
 
-    def thaw(self) -> None:
-        """Finish what was due meanwhile."""
-        due, self._hung = self._hung or [], None
-        for work in due:
-            work()
+    def resume(self) -> None:
+        """Run the callbacks that became due meanwhile."""
+        due, self._deferred = self._deferred or [], None
+        for callback in due:
+            callback()
 
     def crash(self) -> None:
-        """Lose the process and all that it holds."""
-        self.up = False
-        self._starts += 1
-        self._hung = None
-        self.lose_all()
+        """Terminate the process and discard its state."""
+        self.is_running = False
+        self._crash_count += 1
+        self._deferred = None
+        self.discard_state()
 
     def start(self) -> None:
-        """Come back with nothing in memory."""
-        self.up = True
+        """Start the process again, with empty memory."""
+        self.is_running = True
 
-    def lose_all(self) -> None:
-        """Drop what the process held."""
+    def discard_state(self) -> None:
+        """Discard all attempts or calls, and all data in memory."""
         raise NotImplementedError
 
-    def after(self, delay_s: float, work: Callable[[], None]) -> None:
-        """Do something later, unless the process is gone by then."""
-        start = self._starts
+    def after(self, delay_s: float, callback: Callable[[], None]) -> None:
+        """Run a callback after a delay in seconds, unless the process crashes first."""
+        crash_count = self._crash_count
 
         def due() -> None:
-            if self._starts != start:
+            if self._crash_count != crash_count:
                 return
-            if self._hung is not None:
-                self._hung.append(due)
+            if self._deferred is not None:
+                self._deferred.append(due)
             else:
-                work()
+                callback()
 
         self.clock.after(delay_s, due)
 
 
-class AnsweringServer(Server):
-    """An endpoint that answers requests."""
+class RequestServer(Server):
+    """An endpoint that serves requests."""
 
     def run(self, attempt: Attempt) -> None:
-        """Run an attempt, or refuse it."""
+        """Start an attempt, or refuse it."""
         raise NotImplementedError
 
     def cancel(self, attempt: Attempt) -> None:
-        """Drop an attempt whose answer is no longer wanted."""
+        """Cancel an attempt whose response is no longer needed."""
         raise NotImplementedError
 
     def report(self, running: int, queued: int, limit: int) -> LoadReport:
-        """Return what the endpoint says of its load."""
+        """Return a report of the endpoint's load."""
         return LoadReport(
             incarnation=self.endpoint.incarnation,
             running=running,
--- a/packages/simulator/src/amaranthtally/simulator/stage_servers.py
+++ b/packages/simulator/src/amaranthtally/simulator/stage_servers.py
@@ -1,4 +1,4 @@
-"""Endpoints that make pieces: a call at a time, results kept in bounded memory."""
+"""Endpoints that compute pieces, one call at a time, with bounded result memory."""
 
 from collections import deque
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 from amaranthtally.simulator.requests import Request
 from amaranthtally.simulator.servers import Server
 
-__all__ = ["PieceCall", "Results", "StageServer"]
+__all__ = ["PieceCall", "ResultStore", "StageServer"]
 
 
 @dataclass(frozen=True, slots=True)
 class PieceCall:
-    """A call with pieces; ``sizes`` are the bytes of their results."""
+    """A call with pieces; ``sizes`` are their result sizes in bytes."""
 
     pieces: tuple[PieceSpec, ...]
     requests: tuple[Request, ...]
@@ -32,139 +32,149 @@
 @dataclass(frozen=True, slots=True)
 class _Result:
     size_bytes: float
-    until: float
+    expires_at: float
 
 
-class Results:
+class ResultStore:
     """
-    Where every result of a deployment is kept, and how large it is.
+    The data centre and size of each result of a deployment.
 
-    ``crossed_bytes`` counts what was read in another data centre.
+    ``transferred_bytes`` counts reads from another data centre.
     """
 
     def __init__(self) -> None:
-        self.crossed_bytes = 0.0
-        self._at: dict[str, tuple[str, float]] = {}
-        self._next = 0
-
-    def new_handle(self, place: str, size_bytes: float) -> str:
-        """Return a handle for a result that is kept in a data centre."""
-        self._next += 1
-        handle = f"r{self._next}"
-        self._at[handle] = (place, size_bytes)
+        self.transferred_bytes = 0.0
+        self._locations: dict[str, tuple[str, float]] = {}
+        self._last_number = 0
+
+    def add(self, data_centre: str, size_bytes: float) -> str:
+        """Add a result in a data centre, and return its handle."""
+        self._last_number += 1
+        handle = f"r{self._last_number}"
+        self._locations[handle] = (data_centre, size_bytes)
         return handle
 
     def drop(self, handle: str) -> None:
-        """Forget a result."""
-        self._at.pop(handle, None)
+        """Remove a result, if it exists."""
+        self._locations.pop(handle, None)
 
-    def all_kept(self, handles: tuple[str, ...]) -> bool:
-        """Whether every one of these is kept."""
-        return all(handle in self._at for handle in handles)
+    def has_all(self, handles: tuple[str, ...]) -> bool:
+        """Whether all of these results exist."""
+        return all(handle in self._locations for handle in handles)
 
-    def read(self, place: str, handles: tuple[str, ...]) -> None:
-        """Let these, all of them kept, be read in a data centre."""
-        found = [self._at[handle] for handle in handles]
-        self.crossed_bytes += sum(size for at, size in found if at != place)
+    def read(self, data_centre: str, handles: tuple[str, ...]) -> None:
+        """Count the read of existing results in a data centre; raises ``KeyError``."""
+        located = [self._locations[handle] for handle in handles]
+        self.transferred_bytes += sum(size for at, size in located if at != data_centre)
 
 
 @dataclass(slots=True)
-class _Made:
+class _CallResult:
     outcomes: tuple[PieceOutcome, ...]
-    took_s: float
+    duration_s: float
 
 
 class StageServer(Server):
-    """Makes pieces, one call at a time."""
+    """Computes pieces, one call at a time."""
 
     def __init__(
         self,
         clock: VirtualClock,
         endpoint: Endpoint,
         pool: PiecePool,
-        results: Results,
+        results: ResultStore,
     ) -> None:
         super().__init__(clock, endpoint)
         self._pool = pool
         self._results = results
-        self._held: dict[str, _Result] = {}
+        self._stored: dict[str, _Result] = {}
         self._queue: deque[PieceCall] = deque()
         self._running: PieceCall | None = None
         self.busy_s = 0.0
-        self.refused = 0
+        self.refused_count = 0
 
     def call(self, call: PieceCall) -> None:
         """Queue a call, or refuse it."""
         if self._running is not None and len(self._queue) >= self._pool.queue:
-            self.refused += 1
+            self.refused_count += 1
             call.on_end(PiecesEnded(refused=True, running=1, queued=len(self._queue)))
             return
         self._queue.append(call)
         if self._running is None:
-            self._turn()
+            self._start_next_call()
 
     def free(self, handles: tuple[str, ...]) -> None:
-        """Drop results that nobody reads."""
+        """Remove results that are no longer needed."""
         for handle in handles:
-            self._held.pop(handle, None)
+            self._stored.pop(handle, None)
             self._results.drop(handle)
 
-    def lose_all(self) -> None:
-        """Drop calls and results."""
+    def discard_state(self) -> None:
+        """Drop all calls and results."""
         lost = [*self._queue, *([self._running] if self._running else [])]
         self._queue.clear()
         self._running = None
-        self.free(tuple(self._held))
+        self.free(tuple(self._stored))
         for call in lost:
             call.on_end(PiecesEnded())
 
-    def _turn(self) -> None:
+    def _start_next_call(self) -> None:
         if not self._queue:
             return
         call = self._running = self._queue.popleft()
         self._expire()
-        made = self._make(call)
-        self.busy_s += made.took_s
-        self.after(made.took_s, lambda: self._done(call, made.outcomes))
+        result = self._compute(call)
+        self.busy_s += result.duration_s
+        self.after(
+            result.duration_s, lambda: self._call_finished(call, result.outcomes)
+        )
 
     def _expire(self) -> None:
         now = self.clock.now
-        self.free(tuple(h for h, one in self._held.items() if one.until <= now))
+        self.free(
+            tuple(h for h, result in self._stored.items() if result.expires_at <= now)
+        )
 
-    def _make(self, call: PieceCall) -> _Made:
-        worked = 0
+    def _compute(self, call: PieceCall) -> _CallResult:
+        computed_count = 0
         outcomes = []
         for piece, size in zip(call.pieces, call.sizes, strict=True):
-            outcome = self._make_one(piece, size)
-            worked += bool(outcome.handle)
+            outcome = self._compute_piece(piece, size)
+            computed_count += bool(outcome.handle)
             outcomes.append(outcome)
-        usual_s = self._pool.call_s + worked * self._pool.piece_s if worked else 0.0
-        took_s = usual_s * self.slowness
+        nominal_s = (
+            self._pool.call_s + computed_count * self._pool.piece_s
+            if computed_count
+            else 0.0
+        )
+        duration_s = nominal_s * self.slowdown
         for request, outcome in zip(call.requests, outcomes, strict=True):
-            request.stage_s += took_s / worked if outcome.handle else 0.0
-        return _Made(tuple(outcomes), took_s)
+            request.stage_s += duration_s / computed_count if outcome.handle else 0.0
+        return _CallResult(tuple(outcomes), duration_s)
 
-    def _make_one(self, piece: PieceSpec, size_bytes: float) -> PieceOutcome:
+    def _compute_piece(self, piece: PieceSpec, size_bytes: float) -> PieceOutcome:
         now = self.clock.now
         if piece.deadline <= now:
             return PieceOutcome(fault=PieceFault.LATE)
-        if not self._results.all_kept(piece.inputs):
+        if not self._results.has_all(piece.inputs):
             return PieceOutcome(fault=PieceFault.INPUT_MISSING)
-        used = sum(one.size_bytes for one in self._held.values())
+        used = sum(result.size_bytes for result in self._stored.values())
         if used + size_bytes > self._pool.memory_bytes:
             return PieceOutcome(fault=PieceFault.NO_ROOM)
-        self._results.read(self.place, piece.inputs)
-        handle = self._results.new_handle(self.place, size_bytes)
+        self._results.read(self.data_centre, piece.inputs)
+        handle = self._results.add(self.data_centre, size_bytes)
         full_s = self._pool.call_s + self._pool.batch * self._pool.piece_s
-        until = now + full_s + self._pool.result_ttl_s
-        self._held[handle] = _Result(size_bytes, until)
+        expires_at = now + full_s + self._pool.result_ttl_s
+        self._stored[handle] = _Result(size_bytes, expires_at)
         return PieceOutcome(handle)
 
-    def _done(self, call: PieceCall, outcomes: tuple[PieceOutcome, ...]) -> None:
+    def _call_finished(
+        self, call: PieceCall, outcomes: tuple[PieceOutcome, ...]
+    ) -> None:
         self._running = None
-        if self.loses_answers:
+        if self.drops_responses:
             call.on_end(PiecesEnded())
         else:
             queued = len(self._queue)
             call.on_end(PiecesEnded(outcomes, running=int(queued > 0), queued=queued))
-        self._turn()
+        self._start_next_call()
--- a/packages/simulator/src/amaranthtally/simulator/variants.py
+++ b/packages/simulator/src/amaranthtally/simulator/variants.py
@@ -1,4 +1,4 @@
-"""A policy with something else in it, by name, in a registry that decorators fill."""
+"""Named variants of the policy, and the decorators that register them."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -25,15 +25,15 @@
     "Variant",
     "variant",
     "variant_names",
-    "of_arrivals",
-    "of_batcher",
-    "of_ejections",
-    "of_inputs",
-    "of_places",
-    "of_plans",
-    "of_router",
-    "of_server",
-    "of_settings",
+    "with_arrivals",
+    "with_batcher",
+    "with_ejections",
+    "with_inputs",
+    "with_sites",
+    "with_plans",
+    "with_router",
+    "with_server",
+    "with_settings",
     "without",
 ]
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """A policy: its parts, and what it changes in settings and arrivals."""
+    """A policy: its components, and its changes to settings and arrivals."""
 
     name: str = "policy"
     components: PlannerComponents = GATEWAY_COMPONENTS
@@ -68,14 +68,14 @@
 
 
 def variant_names() -> list[str]:
-    """Return the name of each variant, the policy as it is first."""
+    """Return the names of all variants, that of the unchanged policy first."""
     return list(_VARIANTS)
 
 
 def without(
     name: str, to_variant: Callable[[Switch], Variant]
 ) -> Callable[[Switch], Switch]:
-    """Register the policy without a mechanism: what is decorated stands in for it."""
+    """Register a variant in which the decorated object replaces a mechanism."""
 
     def register(switch: Switch) -> Switch:
         _VARIANTS[f"no {name}"] = replace(to_variant(switch), name=f"no {name}")
@@ -84,53 +84,53 @@
     return register
 
 
-# What stands in for a mechanism
+# Variants with a replaced component
 
 
-def of_batcher(build: Callable[[], Batcher]) -> Variant:
-    """Return the policy with other calls with pieces."""
-    return _of_coordinator(lambda: PieceCoordinator(build()))
+def with_batcher(build: Callable[[], Batcher]) -> Variant:
+    """Return the policy with another batcher of piece calls."""
+    return _with_coordinator(lambda: PieceCoordinator(build()))
 
 
-def of_server(build: Callable[[Endpoint, PieceLimits], PieceServer]) -> Variant:
-    """Return the policy with other beliefs about endpoints that make pieces."""
-    return of_batcher(lambda: Batcher(PieceServers(build)))
+def with_server(build: Callable[[Endpoint, PieceLimits], PieceServer]) -> Variant:
+    """Return the policy with other statistics of endpoints that compute pieces."""
+    return with_batcher(lambda: Batcher(PieceServers(build)))
 
 
-def of_places(build: Callable[[], PoolSites]) -> Variant:
-    """Return the policy with other owners or waits of places."""
-    return _of_coordinator(lambda: PieceCoordinator(sites=build()))
+def with_sites(build: Callable[[], PoolSites]) -> Variant:
+    """Return the policy with other owners or waits of pool sites."""
+    return _with_coordinator(lambda: PieceCoordinator(sites=build()))
 
 
-def of_plans(build: Callable[[PoolSites, Batcher], StagePlans]) -> Variant:
-    """Return the policy with other plans of stages."""
-    return _of_coordinator(lambda: PieceCoordinator(build_plans=build))
+def with_plans(build: Callable[[PoolSites, Batcher], StagePlans]) -> Variant:
+    """Return the policy with another planner of stages."""
+    return _with_coordinator(lambda: PieceCoordinator(build_plans=build))
 
 
-def of_inputs(build: BuildInputs) -> Variant:
-    """Return the policy with another admission by stages, or other freeing."""
+def with_inputs(build: BuildInputs) -> Variant:
+    """Return the policy with other admission by stages, or other freeing of inputs."""
     return Variant(components=replace(GATEWAY_COMPONENTS, inputs=build))
 
 
-def of_ejections(build: Callable[[], Ejections]) -> Variant:
-    """Return the policy with other ejections."""
+def with_ejections(build: Callable[[], Ejections]) -> Variant:
+    """Return the policy with other ejection of endpoints."""
     return Variant(components=replace(GATEWAY_COMPONENTS, ejections=build))
 
 
-def of_router(build: BuildRouter) -> Variant:
-    """Return the policy with another choice of endpoints."""
+def with_router(build: BuildRouter) -> Variant:
+    """Return the policy with another router."""
     return Variant(components=replace(GATEWAY_COMPONENTS, router=build))
 
 
-def of_settings(adapt: Callable[[PolicySettings], PolicySettings]) -> Variant:
-    """Return the policy with other settings."""
+def with_settings(adapt: Callable[[PolicySettings], PolicySettings]) -> Variant:
+    """Return the policy with adapted settings."""
     return Variant(adapt_settings=adapt)
 
 
-def of_arrivals(adapt: Callable[[Arrival], Arrival]) -> Variant:
-    """Return the policy that is told something else of requests."""
+def with_arrivals(adapt: Callable[[Arrival], Arrival]) -> Variant:
+    """Return the policy with adapted arrivals."""
     return Variant(adapt_arrival=adapt)
 
 
-def _of_coordinator(build: Callable[[], PieceCoordinator]) -> Variant:
+def _with_coordinator(build: Callable[[], PieceCoordinator]) -> Variant:
     return Variant(components=replace(GATEWAY_COMPONENTS, coordinator=build))
--- a/tests/load/test_stages_under_load.py
+++ b/tests/load/test_stages_under_load.py
@@ -53,7 +53,7 @@
         share_on_time(coordinated, *staged)
         >= share_on_time(uncoordinated, *staged) + 0.1
     )
-    assert sum(server.refused for server in coordinated.stage_servers()) == 0
+    assert sum(server.refused_count for server in coordinated.stage_servers()) == 0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/simulator/support.py
+++ b/tests/simulator/support.py
@@ -33,7 +33,7 @@
 ORDER = Kind("order", "desk", 5.0, 0.4, 2.0, "effect")
 
 
-def small(*faults, kinds=(CLAIM, READ, ORDER), seconds=8.0, **options):
+def small_deployment(*faults, kinds=(CLAIM, READ, ORDER), seconds=8.0, **options):
     """Return a deployment of two data centres with these faults."""
     return Deployment(
         name="small",
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -1,4 +1,4 @@
-"""Days of deployments: what is drawn, what is counted, and what is caught."""
+"""Tests of simulated days: repeatability, fault handling and the invariant checks."""
 
 from dataclasses import replace
 
@@ -6,15 +6,15 @@
 import pytest
 
 from amaranthtally.policy import RefusalReason, Refuse, RequestOutcome
-from amaranthtally.simulator.callers import Callers, Drawn
+from amaranthtally.simulator.callers import Callers, Workload
 from amaranthtally.simulator.clock import VirtualClock
 from amaranthtally.simulator.days import simulate, simulate_day
 from amaranthtally.simulator.draw import draw_deployment
 from amaranthtally.simulator.faults import fault_kinds
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant, variant_names
 from amaranthtally.simulator.requests import Ending
-from amaranthtally.simulator.world import World
-from tests.simulator.support import CLAIM, ORDER, fault, small
+from amaranthtally.simulator.world import Simulation
+from tests.simulator.support import CLAIM, ORDER, fault, small_deployment
 
 TARGETS = {
     "kill": "cluj-a/0",
@@ -28,132 +28,140 @@
 SEARCHED_S = 10.0
 
 
-def played(*faults, seed=1, chosen=POLICY, **options):
-    return simulate(small(*faults, **options), seed, chosen)
+def run_small(*faults, seed=1, chosen=POLICY, **options):
+    return simulate(small_deployment(*faults, **options), seed, chosen)
 
 
-def test_a_calm_day_is_on_time():
-    day = simulate_day(small(), 1)
+def test_requests_are_on_time_without_faults():
+    day = simulate_day(small_deployment(), 1)
     assert day.broken == ()
     assert day.on_time >= 0.97
     assert day.worth <= day.earned
 
 
-def test_a_day_is_the_same_each_time():
+def test_a_day_is_deterministic():
     deployment = draw_deployment(14, seconds=6.0)
     assert simulate_day(deployment, 2) == simulate_day(deployment, 2)
     assert simulate_day(deployment, 2) != simulate_day(deployment, 3)
 
 
 @pytest.mark.parametrize("kind", fault_kinds())
-def test_no_fault_breaks_a_promise(kind):
+def test_no_fault_violates_an_invariant(kind):
     target = TARGETS.get(kind, "catalogue/cluj-a/0")
-    world = played(fault(kind, target), seconds=16.0)
-    assert world.promises.broken == []
-    assert len(world.callers.records) > 100
+    simulation = run_small(fault(kind, target), seconds=16.0)
+    assert simulation.invariants.violations == []
+    assert len(simulation.callers.records) > 100
 
 
 @pytest.mark.parametrize("kind", ["crash", "hang", "dark", "slow", "lost_answers"])
 @pytest.mark.parametrize("pool", ["engines", "desk"])
-def test_an_endpoint_that_fails_is_worked_round(kind, pool):
-    world = played(fault(kind, f"{pool}/cluj-a/0"), seconds=12.0)
-    after = [v for v in world.callers.records if v.arrived_at > 8.0]
-    assert world.promises.broken == []
+def test_requests_are_on_time_despite_a_failing_endpoint(kind, pool):
+    simulation = run_small(fault(kind, f"{pool}/cluj-a/0"), seconds=12.0)
+    after = [v for v in simulation.callers.records if v.arrived_at > 8.0]
+    assert simulation.invariants.violations == []
     assert sum(v.ending is Ending.ON_TIME for v in after) >= 0.95 * len(after)
 
 
 @pytest.mark.parametrize("name", variant_names())
-def test_each_variant_meets_the_same_requests(name):
-    base = played(seconds=4.0)
-    other = played(seconds=4.0, chosen=variant(name))
+def test_each_variant_receives_the_same_requests(name):
+    base = run_small(seconds=4.0)
+    other = run_small(seconds=4.0, chosen=variant(name))
 
-    def came(world):
-        return sorted((v.kind, v.arrived_at) for v in world.callers.records)
+    def arrivals(simulation):
+        return sorted((v.kind, v.arrived_at) for v in simulation.callers.records)
 
-    assert came(other) == came(base)
+    assert arrivals(other) == arrivals(base)
 
 
-def test_a_variant_without_owners_is_caught():
-    """Entries that differ for ever in whom they take for the owner go unnoticed."""
-    world = played(
+def test_a_variant_without_owners_is_detected():
+    """The check misses entries that permanently disagree on a pool owner."""
+    simulation = run_small(
         fault("kill", "cluj-a/0", 1.0, 1.0), seconds=12.5, chosen=variant("no owners")
     )
-    assert any("owners at" in line for line in world.promises.broken)
+    assert any("owners at" in line for line in simulation.invariants.violations)
 
 
-def test_an_effect_that_runs_twice_is_caught():
-    """A policy that repeats what may run once goes unnoticed."""
+def test_an_effect_that_runs_twice_is_detected():
+    """The check misses a policy that repeats requests which may run only once."""
 
     def repeat(arrival):
         stages = tuple(replace(s, repeatable=True) for s in arrival.pipeline.stages)
         return replace(arrival, pipeline=replace(arrival.pipeline, stages=stages))
 
-    careless = Variant(adapt_arrival=repeat)
+    repeating = Variant(adapt_arrival=repeat)
     lost = fault("lost_answers", "desk/cluj-a/0", 1.0, 5.0)
-    world = played(lost, chosen=careless)
-    effects = [line for line in world.promises.broken if line.startswith("order-")]
+    simulation = run_small(lost, chosen=repeating)
+    effects = [
+        line for line in simulation.invariants.violations if line.startswith("order-")
+    ]
     assert any("ran 2 times" in line for line in effects)
-    assert not any("ran" in line for line in played(lost).promises.broken)
+    assert not any("ran" in line for line in run_small(lost).invariants.violations)
 
 
-def test_an_effect_that_runs_after_its_refusal_is_caught():
-    """A call that waits somewhere runs after its caller was told that it did not."""
-    world = World(small(kinds=(ORDER,)), 1)
-    request = world.drawn.new_request(ORDER, 0, 0.0)
+def test_an_effect_that_runs_after_its_refusal_is_detected():
+    """A queued call runs after its caller was told that it was not run."""
+    simulation = Simulation(small_deployment(kinds=(ORDER,)), 1)
+    request = simulation.workload.new_request(ORDER, 0, 0.0)
     request.tries = 1
     refusal = Refuse(request.try_id, RequestOutcome.NOT_RUN, RefusalReason.OVERLOAD)
-    world.promises.note_refusal(request, refusal)
-    world.promises.check_end()
-    assert world.promises.broken == []
-    world.servers["desk/cluj-a/0"].ran.append(request.id)
-    world.promises.check_end()
-    assert world.promises.broken == ["order-0.1 ran after it was said not to have"]
-
-
-def test_unbounded_retries_are_caught():
-    """Retries beyond the budget go unnoticed."""
+    simulation.invariants.note_refusal(request, refusal)
+    simulation.invariants.check_end()
+    assert simulation.invariants.violations == []
+    simulation.servers["desk/cluj-a/0"].run_ids.append(request.id)
+    simulation.invariants.check_end()
+    assert simulation.invariants.violations == [
+        "order-0.1 ran after it was reported as not run"
+    ]
+
+
+def test_unbounded_retries_are_detected():
+    """The check misses retries beyond the budget."""
     lost = fault("lost_answers", "desk", 1.0, 6.0)
-    kinds = (often(ORDER, "read", "idempotent"),)
+    kinds = (frequent(ORDER, "read", "idempotent"),)
     options = {"kinds": kinds, "retry_reserve": 1.0, "retry_budget": 0.05}
-    loose = played(lost, chosen=variant("no bound of retries"), **options)
-    assert any("retries of" in line for line in loose.promises.broken)
-    assert played(lost, **options).promises.broken == []
+    unbounded = run_small(lost, chosen=variant("no bound of retries"), **options)
+    assert any("retries of" in line for line in unbounded.invariants.violations)
+    assert run_small(lost, **options).invariants.violations == []
 
 
-def often(kind, name, call):
-    """Return a kind under another name that comes often."""
+def frequent(kind, name, call):
+    """Return a kind with another name and a high rate."""
     return type(kind)(name, kind.pool, 40.0, kind.objective_s, kind.deadline_s, call)
 
 
 @pytest.mark.parametrize("block", range(10))
-def test_drawn_days_keep_the_promises(block):
-    """Some order of faults and callers that nobody thought of breaks a promise."""
+def test_random_days_violate_no_invariant(block):
+    """An untested combination of faults and requests violates an invariant."""
     for seed in range(5 * block, 5 * block + 5):
         day = simulate_day(draw_deployment(seed, seconds=SEARCHED_S), seed)
         assert day.broken == (), f"deployment {seed}"
 
 
-def test_a_caller_that_was_refused_has_not_lost_its_patience():
-    """One that is told to come back in two seconds is counted as gone after one."""
-    deployment = small(kinds=(with_patience(CLAIM, 1.0),))
-    clock, drawn = VirtualClock(), Drawn(deployment, 1)
+def test_a_refusal_stops_the_caller_timeout():
+    """
+    The caller timeout keeps running after a refusal.
+
+    A caller that is to retry after two seconds was counted as gone after one.
+    """
+    deployment = small_deployment(kinds=(with_caller_timeout(CLAIM, 1.0),))
+    clock, drawn = VirtualClock(), Workload(deployment, 1)
     sent = []
     callers = Callers(
         clock, deployment, drawn, lambda request, random: not sent.append(clock.now), id
     )
     request = drawn.new_request(deployment.kinds[0], 0, 0.0)
-    callers.take(request)
+    callers.submit(request)
     refusal = Refuse(
         request.try_id, RequestOutcome.NOT_RUN, RefusalReason.OVERLOAD, 2.0
     )
-    callers.refused(request, refusal)
+    callers.refusal_received(request, refusal)
     clock.run(2.5)
     assert sent == [0.0, 2.0]
     assert callers.records == []
     clock.run(3.5)
-    assert [one.ending for one in callers.records] == [Ending.ABANDONED]
+    assert [record.ending for record in callers.records] == [Ending.ABANDONED]
 
 
-def with_patience(kind, patience_s):
-    """Return a kind whose callers leave after so long without an event."""
+def with_caller_timeout(kind, patience_s):
+    """Return a kind whose callers disconnect after this time without an event."""
     return msgspec.structs.replace(kind, patience_s=patience_s)
--- a/tests/simulator/test_deployments.py
+++ b/tests/simulator/test_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments as files, and drawn ones."""
+"""Tests of deployment files and of random deployments."""
 
 import msgspec
 import pytest
@@ -15,12 +15,12 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.stem)
-def test_the_examples_can_be_used(path):
+def test_example_deployments_are_valid(path):
     check_faults(path, read_deployment(path))
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_drawn_deployment_reads_as_it_was_written(tmp_path, seed):
+def test_a_random_deployment_survives_writing_and_reading(tmp_path, seed):
     drawn = draw_deployment(seed)
     path = tmp_path / "drawn.toml"
     write_deployment(path, drawn)
@@ -28,7 +28,7 @@
     check_faults(path, drawn)
 
 
-def test_drawn_days_have_every_kind_of_fault():
+def test_random_days_have_every_kind_of_fault():
     drawn = {f.kind for seed in range(200) for f in draw_deployment(seed).faults}
     assert drawn == set(fault_kinds())
 
@@ -44,7 +44,7 @@
         ('kind = "burst"', 'kind = "flood"', "faults[0].kind"),
     ],
 )
-def test_a_wrong_field_is_named(tmp_path, old, new, named):
+def test_the_error_names_the_invalid_field(tmp_path, old, new, named):
     text = next(path for path in EXAMPLES if path.stem == "fleet").read_text()
     assert old in text
     path = tmp_path / "wrong.toml"
@@ -55,7 +55,7 @@
     assert str(path) in str(caught.value)
 
 
-def test_stages_stand_after_those_that_they_read():
+def test_a_stage_may_only_depend_on_earlier_stages():
     drawn = draw_deployment(1)
     kind = next(kind for kind in drawn.kinds if len(kind.stages) > 1)
     stages = tuple(msgspec.structs.replace(s, after=(9,)) for s in kind.stages)
