--- a/tests/lifecycle/test_orders.py
+++ b/tests/lifecycle/test_orders.py
@@ -167,9 +167,11 @@
             await register_models(deployment, pairs, MODEL)
             for pair in pairs:
                 assert await wait_for_orders(deployment, pair, 1) == [(1, MODEL)]
-            pulls = [r["at"] for r in await deployment.records(deployment.platform)]
-            assert len(pulls) == len(pairs)
-            gaps = [after - at for at, after in itertools.pairwise(pulls)]
+            download_times = [
+                r["at"] for r in await deployment.records(deployment.platform)
+            ]
+            assert len(download_times) == len(pairs)
+            gaps = [after - at for at, after in itertools.pairwise(download_times)]
             assert min(gaps) >= 65_536 / rate
             for pair in pairs:
                 # Creates and ends a session and writes a fencing number; no renewals.
