--- a/packages/simulator/src/amaranthtally/simulator/promises.py
+++ b/packages/simulator/src/amaranthtally/simulator/promises.py
@@ -51,9 +51,7 @@
             return
         self._reported_not_run.append((request, request.tries))
         if request.id in self._run_counts():
-            self._add_violation(
-                f"{request.try_id} ran although it was reported as not run"
-            )
+            self._add_violation(f"{request.try_id} ran, and was said not to have")
 
     def check_agreement(self) -> None:
         """Check that all entries agree on the owner of each pool site."""
@@ -74,13 +72,13 @@
         simulation = self._simulation
         if simulation.callers.pending_count:
             self._add_violation(
-                f"{simulation.callers.pending_count} callers have no response"
+                f"{simulation.callers.pending_count} callers have no answer"
             )
         all_runs = self._run_counts()
         for request, tries in self._reported_not_run:
             if request.tries == tries and request.id in all_runs:
                 self._add_violation(
-                    f"{request.try_id} ran after it was reported as not run"
+                    f"{request.try_id} ran after it was said not to have"
                 )
         effects = {k.name for k in simulation.deployment.kinds if k.call == "effect"}
         for request_id, runs in all_runs.items():
@@ -92,7 +90,7 @@
             retries = entry.attempts.failure_retries
             if retries > most:
                 self._add_violation(
-                    f"{entry.name} sent {retries} retries of {most:.0f} allowed"
+                    f"{entry.name} sent {retries} retries of {most:.0f}"
                 )
 
     def _run_counts(self) -> Counter[str]:
