--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,9 +1,9 @@
-"""What each way to bind a call that may not be repeated costs, in one run.
+"""Compares the cost of the ways to key an at-most-once call, in one run.
 
     .venv/bin/python -m bench.at_most_once [--requests N] [--platform-ms N]
 
-Prints the platform's writes and reads a call, the latency, and what is served
-while the platform is down.
+Prints the platform's writes and reads per call, the latency, and the outcomes of
+calls during an outage of the platform.
 """
 
 import argparse
@@ -26,13 +26,13 @@
 from amaranthtally.wire import AtMostOnceTerms
 
 PLAN = Path(__file__).parent.parent / "examples" / "agrosalv.toml"
-EFFECT = "dispatch-order"
-PLAIN = "dispatch-plain"
+AT_MOST_ONCE_PIPELINE = "dispatch-order"
+REPEATABLE_PIPELINE = "dispatch-plain"
 POOLS = ("roster", "dispatch")
 ORDER = {"to": "field 7"}
-WARM = 20
+WARM_REQUESTS = 20
 MS = 1000.0
-MICRO = 1_000_000
+MICROS_PER_S = 1_000_000
 LEDGER_CALLS = 10_000
 
 KeyMaker = Callable[[int], Coroutine[Any, Any, str]]
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Way:
-    """A way to send an order; ``key`` makes the key of the n-th one."""
+    """A way to send an order; ``key`` returns the idempotency key of the n-th one."""
 
     name: str
     pipeline: str
@@ -52,7 +52,7 @@
     parser.add_argument("--requests", type=int, default=300)
     parser.add_argument("--platform-ms", type=float, default=3.0)
     arguments = parser.parse_args()
-    async with open_deployment(small_plan(), entries=2) as deployment:
+    async with open_deployment(dispatch_plan(), entries=2) as deployment:
         await deployment.set_knobs(
             deployment.platform, service=arguments.platform_ms / MS
         )
@@ -64,60 +64,60 @@
     measure_memory(LEDGER_CALLS)
 
 
-def small_plan():
-    """Return the dispatch pipeline, with effects and without."""
+def dispatch_plan():
+    """Return a plan with the dispatch pipeline, at-most-once and repeatable."""
     plan = load_plan(PLAN)
     pools = [
         msgspec.structs.replace(pool, knobs={})
         for pool in plan.pools
         if pool.name in POOLS
     ]
-    effect = plan.settings[f"pipeline:{EFFECT}"]
-    roster, dispatch = effect["stage"]["roster"], effect["stage"]["dispatch"]
-    free = {"roster": roster, "dispatch": {**dispatch, "repeatable": True}}
+    pipeline = plan.settings[f"pipeline:{AT_MOST_ONCE_PIPELINE}"]
+    roster, dispatch = pipeline["stage"]["roster"], pipeline["stage"]["dispatch"]
+    repeatable_stages = {"roster": roster, "dispatch": {**dispatch, "repeatable": True}}
     settings = {
-        f"pipeline:{EFFECT}": effect,
-        f"pipeline:{PLAIN}": {**effect, "stage": free},
+        f"pipeline:{AT_MOST_ONCE_PIPELINE}": pipeline,
+        f"pipeline:{REPEATABLE_PIPELINE}": {**pipeline, "stage": repeatable_stages},
     }
     return msgspec.structs.replace(plan, pools=pools, settings=settings)
 
 
 def ways(deployment: Deployment, prefix: str = "") -> list[Way]:
-    """Return the ways to compare."""
+    """Return the ways to compare; ``prefix`` starts every key."""
 
-    async def none(number: int) -> str:
+    async def no_key(number: int) -> str:
         return ""
 
-    async def own(number: int) -> str:
+    async def new_key(number: int) -> str:
         return f"{prefix}order-{number}"
 
-    async def repeated(number: int) -> str:
+    async def repeated_key(number: int) -> str:
         return f"{prefix}order-0"
 
-    async def token(number: int) -> str:
-        return await take_token(deployment)
+    async def new_token(number: int) -> str:
+        return await issue_token(deployment)
 
     return [
-        Way("repeatable, no key", PLAIN, none),
-        Way("token, taken and used", EFFECT, token),
-        Way("own key, new", EFFECT, own),
-        Way("own key, repeated", EFFECT, repeated),
+        Way("repeatable, no key", REPEATABLE_PIPELINE, no_key),
+        Way("token, taken and used", AT_MOST_ONCE_PIPELINE, new_token),
+        Way("own key, new", AT_MOST_ONCE_PIPELINE, new_key),
+        Way("own key, repeated", AT_MOST_ONCE_PIPELINE, repeated_key),
     ]
 
 
-async def take_token(deployment: Deployment) -> str:
+async def issue_token(deployment: Deployment) -> str:
     key = deployment.plan.accounts[0].key
     async with deployment.http.post(
-        f"{deployment.entry_url()}/v1/pipelines/{EFFECT}/tokens",
+        f"{deployment.entry_url()}/v1/pipelines/{AT_MOST_ONCE_PIPELINE}/tokens",
         headers={"Authorization": f"Bearer {key}"},
     ) as response:
         return (await response.json())["token"]
 
 
-async def counts(deployment: Deployment) -> Counter[str]:
-    """Return the platform's calls by kind, watches left out."""
-    async with deployment.http.get(deployment.platform_url + "/_counts") as found:
-        by_caller = await found.json()
+async def platform_calls(deployment: Deployment) -> Counter[str]:
+    """Return the platform's calls by kind, summed over callers, without watches."""
+    async with deployment.http.get(deployment.platform_url + "/_counts") as response:
+        by_caller = await response.json()
     kinds: Counter[str] = Counter()
     for name, count in by_caller.items():
         kinds[name.rpartition(" ")[2]] += count
@@ -127,9 +127,9 @@
 async def measure(deployment: Deployment, way: Way, requests: int) -> None:
     before: Counter[str] = Counter()
     times, token_times = [], []
-    for number in range(requests + WARM):
-        if number == WARM:
-            before = await counts(deployment)
+    for number in range(requests + WARM_REQUESTS):
+        if number == WARM_REQUESTS:
+            before = await platform_calls(deployment)
         start = time.perf_counter()
         key = await way.key(number)
         sent = time.perf_counter()
@@ -137,14 +137,14 @@
         assert answer.status == 200, await answer.text()
         token_times.append((sent - start) * MS)
         times.append((time.perf_counter() - sent) * MS)
-    used = await counts(deployment)
-    used.subtract(before)
-    call, taking = times[WARM:], token_times[WARM:]
+    calls = await platform_calls(deployment)
+    calls.subtract(before)
+    call, issue = times[WARM_REQUESTS:], token_times[WARM_REQUESTS:]
     print(
-        f"{way.name:24} writes {used['write'] / requests:4.2f}  "
-        f"reads {used['read'] / requests:4.2f}  call p50 {median(call):6.2f} "
+        f"{way.name:24} writes {calls['write'] / requests:4.2f}  "
+        f"reads {calls['read'] / requests:4.2f}  call p50 {median(call):6.2f} "
         f"p99 {quantiles(call, n=100)[98]:6.2f} ms  "
-        f"token p50 {median(taking):5.2f} ms"
+        f"token p50 {median(issue):5.2f} ms"
     )
 
 
@@ -164,10 +164,11 @@
 
 
 def measure_memory(calls: int) -> None:
-    """Print what one call on record costs a sidecar, its output left out."""
+    """Print a sidecar's memory and time for one recorded call, without its output."""
     ledger = CallLedger(1, calls, 900.0)
     keys = [
-        f"harvest-cooperative/{EFFECT}/key/order-{n}#1.dispatch" for n in range(calls)
+        f"harvest-cooperative/{AT_MOST_ONCE_PIPELINE}/key/order-{n}#1.dispatch"
+        for n in range(calls)
     ]
     fingerprints = [fingerprint_of(b'{"to": "field %d"}' % n) for n in range(calls)]
     tracemalloc.start()
@@ -175,13 +176,13 @@
     for key, fingerprint in zip(keys, fingerprints, strict=True):
         terms = AtMostOnceTerms(incarnation=1, issued_s=0.0, fingerprint=fingerprint)
         ledger.open(0.0, key, terms)
-    spent = time.perf_counter() - start
-    grown, _ = tracemalloc.get_traced_memory()
+    elapsed = time.perf_counter() - start
+    ledger_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    texts = sum(map(sys.getsizeof, keys)) + sum(map(sys.getsizeof, fingerprints))
+    text_bytes = sum(map(sys.getsizeof, keys)) + sum(map(sys.getsizeof, fingerprints))
     print(
-        f"ledger: {calls} calls, {(grown + texts) / calls:.0f} bytes each, "
-        f"{spent / calls * MICRO:.1f} us each to open"
+        f"ledger: {calls} calls, {(ledger_bytes + text_bytes) / calls:.0f} bytes each, "
+        f"{elapsed / calls * MICROS_PER_S:.1f} us each to open"
     )
 
 
--- a/bench/bytecode.py
+++ b/bench/bytecode.py
@@ -1,4 +1,4 @@
-"""A count of the bytecode instructions that a piece of Python executes."""
+"""Counts the bytecode instructions that a piece of Python code executes."""
 
 import sys
 from collections.abc import Iterator
@@ -11,10 +11,10 @@
 
 class BytecodeCounter:
     """
-    Counts instructions while ``counting`` is open.
+    Counts the instructions executed inside ``counting``.
 
-    The count is the same in each run on any machine, however busy. What a C
-    function does inside counts as the one instruction that calls it.
+    The count is the same in each run, on any machine and under any load. A call of a
+    C function counts as one instruction, whatever the function does.
     """
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
 
     @contextmanager
     def counting(self) -> Iterator[None]:
-        """Count what is called inside; not the body itself."""
+        """Count the functions called in the ``with`` body, but not the body itself."""
         sys.settrace(self._trace_call)
         try:
             yield
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,10 @@
-"""Slopes for docs/CAPACITY.md: what each role costs as the deployment grows.
+"""Measures for docs/CAPACITY.md how the cost of each role grows with a deployment.
 
     .venv/bin/python -m bench.capacity
 
-Two entries with registered endpoints and client accounts that nobody calls, one
-sidecar, and connections of the inner protocol between two processes.
+Prints the memory, processor time and traffic of an entry and a sidecar while a
+deployment with two entries registers endpoints and client accounts, to which no
+requests are sent, and the memory of sidecar connections between two processes.
 """
 
 import asyncio
@@ -27,12 +28,12 @@
     serve_sidecar,
 )
 from amaranthtally.wire.loop import run
-from bench.process_cost import bytes_moved, cpu_seconds, memory_mb
+from bench.process_cost import cpu_seconds, io_bytes, memory_mb
 
 PLAN = Path(__file__).parent.parent / "examples" / "agrosalv.toml"
 ENDPOINT_STEPS = (0, 1000, 4000, 11000)
 ACCOUNT_STEPS = (5, 100, 940)
-BATCH = 500
+BATCH_SIZE = 500
 IDLE_SECONDS = 30.0
 CHANGES = 20
 CONNECTION_STEPS = (0, 200, 800)
@@ -52,14 +53,14 @@
     deployment: Deployment, label: str, entry: int, sidecar: int
 ) -> None:
     pids = {"entry": entry, "sidecar": sidecar}
-    spent = {role: cpu_seconds(pid) for role, pid in pids.items()}
-    moved = {role: bytes_moved(pid) for role, pid in pids.items()}
-    counts = await platform_calls(deployment)
+    cpu_before = {role: cpu_seconds(pid) for role, pid in pids.items()}
+    io_before = {role: io_bytes(pid) for role, pid in pids.items()}
+    calls_before = await platform_calls(deployment)
     await asyncio.sleep(IDLE_SECONDS)
-    calls = await platform_calls(deployment) - counts
+    calls = await platform_calls(deployment) - calls_before
     for role, pid in pids.items():
-        share = (cpu_seconds(pid) - spent[role]) / IDLE_SECONDS
-        rate = (bytes_moved(pid) - moved[role]) / IDLE_SECONDS
+        share = (cpu_seconds(pid) - cpu_before[role]) / IDLE_SECONDS
+        rate = (io_bytes(pid) - io_before[role]) / IDLE_SECONDS
         print(
             f"idle {label}: {role} {share:.2%} of a core, {memory_mb(pid):.1f} MB, "
             f"{rate:.0f} bytes/s"
@@ -68,35 +69,37 @@
 
 
 async def platform_calls(deployment: Deployment) -> int:
-    async with deployment.http.get(deployment.platform_url + "/_counts") as found:
-        return sum((await found.json()).values())
+    async with deployment.http.get(deployment.platform_url + "/_counts") as response:
+        return sum((await response.json()).values())
 
 
 async def grow_accounts(deployment: Deployment, entry: int) -> None:
-    known = len(deployment.plan.accounts)
+    registered = len(deployment.plan.accounts)
     for target in ACCOUNT_STEPS:
         values = {
             f"account:bench-{n}": {"key_sha256": f"{n:064x}"}
-            for n in range(known, target)
+            for n in range(registered, target)
         }
         await commit(deployment, values)
-        known = max(known, target)
+        registered = max(registered, target)
         print(f"accounts {target}: entry {memory_mb(entry):.1f} MB")
 
 
 async def grow_endpoints(deployment: Deployment, entry: int) -> None:
-    known = 0
+    registered = 0
     for target in ENDPOINT_STEPS:
-        spent, start = cpu_seconds(entry), time.perf_counter()
-        while known < target:
-            upto = min(target, known + BATCH)
-            values = {f"endpoint.b-{n}": registration(n) for n in range(known, upto)}
+        cpu_s, start = cpu_seconds(entry), time.perf_counter()
+        while registered < target:
+            batch_end = min(target, registered + BATCH_SIZE)
+            values = {
+                f"endpoint.b-{n}": registration(n) for n in range(registered, batch_end)
+            }
             await commit(deployment, {"firm": values})
-            known = upto
-        spent, took = cpu_seconds(entry) - spent, time.perf_counter() - start
+            registered = batch_end
+        cpu_s, elapsed = cpu_seconds(entry) - cpu_s, time.perf_counter() - start
         print(
             f"endpoints {target}: entry {memory_mb(entry):.1f} MB, "
-            f"{spent:.2f} cpu s, {took:.2f} s"
+            f"{cpu_s:.2f} cpu s, {elapsed:.2f} s"
         )
     await measure_changes(deployment, "endpoint", {"endpoint.b-1": registration(1)})
     await measure_changes(deployment, "limit", {"limit.rate": 100})
@@ -105,13 +108,15 @@
 async def measure_changes(
     deployment: Deployment, label: str, values: dict[str, Any]
 ) -> None:
-    """Report what one change costs the entry that commits it and another one."""
+    """Print the processor time of one change, at the committing and another entry."""
     pids = [entry.pid for entry in deployment.entries]
-    spent = [cpu_seconds(pid) for pid in pids]
+    cpu_before = [cpu_seconds(pid) for pid in pids]
     for number in range(CHANGES):
-        again = {k: vary(v, number) for k, v in values.items()}
-        await commit(deployment, {"firm": again})
-    costs = [(cpu_seconds(p) - s) / CHANGES for p, s in zip(pids, spent, strict=True)]
+        varied = {k: vary(v, number) for k, v in values.items()}
+        await commit(deployment, {"firm": varied})
+    costs = [
+        (cpu_seconds(p) - s) / CHANGES for p, s in zip(pids, cpu_before, strict=True)
+    ]
     print(
         f"one change of a {label}: committing {costs[0]:.3f} s, other {costs[1]:.3f} s"
     )
@@ -156,11 +161,11 @@
 
 
 def measure_connections() -> None:
-    """Fork a server and connect to it many times, greeting each."""
+    """Fork a server, open many connections to it, and send a hello on each."""
     reader, writer = os.pipe()
     server = os.fork()
     if server == 0:
-        run(_serve_until_ended(writer))
+        run(_serve_until_killed(writer))
         os._exit(0)
     port = int(os.read(reader, 16))
     try:
@@ -170,7 +175,7 @@
         os.waitpid(server, 0)
 
 
-async def _serve_until_ended(writer: int) -> None:
+async def _serve_until_killed(writer: int) -> None:
     async with capnp.kj_loop(), serve_sidecar(IdleHandler(), "127.0.0.1", 0) as port:
         os.write(writer, b"%d" % port)
         await asyncio.Event().wait()
--- a/bench/host_sidecar.py
+++ b/bench/host_sidecar.py
@@ -1,5 +1,7 @@
 """
-Memory and idle processor time of sidecars: many endpoints in one process, or one each.
+Memory and idle processor time of sidecars.
+
+One process serves many endpoints, or, with ``--apart``, each endpoint has its own.
 
     python -m bench.host_sidecar --endpoints 15 --apart
 """
@@ -20,11 +22,11 @@
 ANY_PORT = "127.0.0.1:0"
 SETTLE_S = 3.0
 IDLE_S = 10.0
-PLACE = {"host": "host-1", "region": "cluj", "data_centre": "cluj-1"}
+LOCATION = {"host": "host-1", "region": "cluj", "data_centre": "cluj-1"}
 
 
 def endpoint(number: int, port: int) -> dict[str, object]:
-    """Return one endpoint's own settings."""
+    """Return the settings of one endpoint."""
     return {
         "endpoint": f"engine-{number}",
         "wire_address": ANY_PORT,
@@ -33,18 +35,18 @@
     }
 
 
-async def measure(count: int, apart: bool) -> None:
-    """Start the sidecars, leave them idle, and print what they cost."""
+async def measure_idle_cost(count: int, apart: bool) -> None:
+    """Start the sidecars, leave them idle, and print their memory and idle time."""
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         service = await start_process("service", STANDINS, "encoder", "--name", "s")
         stack.push_async_callback(service.kill)
         port = service.ports["port"]
-        shared = {**PLACE, "http_address": ANY_PORT, "drain_wait": 0.0}
-        own = [endpoint(number, port) for number in range(count)]
-        files = [{**shared, **one} for one in own]
+        shared = {**LOCATION, "http_address": ANY_PORT, "drain_wait": 0.0}
+        endpoints = [endpoint(number, port) for number in range(count)]
+        files = [{**shared, **endpoint_settings} for endpoint_settings in endpoints]
         if not apart:
-            files = [{**shared, "endpoints": own}]
+            files = [{**shared, "endpoints": endpoints}]
         processes = []
         for number, settings in enumerate(files):
             path = folder / f"{number}.toml"
@@ -55,10 +57,10 @@
             stack.push_async_callback(process.kill)
             processes.append(process)
         await asyncio.sleep(SETTLE_S)
-        begun, before = time.monotonic(), sum(cpu_seconds(p.pid) for p in processes)
+        start, before = time.monotonic(), sum(cpu_seconds(p.pid) for p in processes)
         await asyncio.sleep(IDLE_S)
-        spent = sum(cpu_seconds(p.pid) for p in processes) - before
-        share = spent / (time.monotonic() - begun)
+        cpu_s = sum(cpu_seconds(p.pid) for p in processes) - before
+        share = cpu_s / (time.monotonic() - start)
         memory = sum(memory_mb(p.pid) for p in processes)
         print(
             f"{count} endpoints in {len(processes)} processes: "
@@ -67,12 +69,12 @@
 
 
 def main() -> None:
-    """Measure once."""
+    """Run one measurement."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--endpoints", type=int, default=15)
     parser.add_argument("--apart", action="store_true")
     arguments = parser.parse_args()
-    asyncio.run(measure(arguments.endpoints, arguments.apart))
+    asyncio.run(measure_idle_cost(arguments.endpoints, arguments.apart))
 
 
 if __name__ == "__main__":
--- a/bench/journal_tables.py
+++ b/bench/journal_tables.py
@@ -1,9 +1,10 @@
-"""Tables of hunts and scores, made from the entries in ``journal/``.
+"""Builds docs/RUNS.md: tables of hunts and scores from the entries in ``journal/``.
 
     .venv/bin/python -m bench.journal_tables [--write]
 
-Prints docs/RUNS.md; ``--write`` writes it. What an entry does not show is not in a
-table: a run that has not finished when its entry was committed is said to be that.
+Prints the page; with ``--write``, writes the file. The tables hold only what the
+entries show: for a run that had not finished when its entry was committed, they give
+its error instead of figures.
 """
 
 import argparse
@@ -17,12 +18,13 @@
 ROOT = Path(__file__).parent.parent
 JOURNAL = ROOT / "journal"
 PAGE = ROOT / "docs" / "RUNS.md"
-# The first run of the code whose pages were compared with their entries.
-SINCE = "20261203T114900"
+# Entries are listed from here: the first run of code whose pages were compared with
+# their entries.
+FIRST_ENTRY = "20261203T114900"
 COMMIT_LENGTH = 7
-TROUBLE = ("trouble", "scale")
+TROUBLE_PREFIXES = ("trouble", "scale")
 
-HEAD = """\
+PAGE_HEAD = """\
 # Runs
 
 Hunts and scores as `journal/` has them, oldest first: made by
@@ -33,7 +35,7 @@
 
 
 class Day(msgspec.Struct):
-    """One day of a run; ``G`` is its worth."""
+    """One simulated day of a run; ``G`` is its score."""
 
     name: str
     G: float
@@ -44,7 +46,7 @@
 
 
 class Entry(msgspec.Struct):
-    """One run as it was noted."""
+    """The journal entry of one run."""
 
     id: str
     at: list[str]
@@ -59,23 +61,23 @@
 
     @property
     def site(self) -> str:
-        """The deployment, by its file."""
+        """Name of the deployment: the stem of its file."""
         return PurePosixPath(self.argv[0]).stem
 
     @property
     def code(self) -> str:
-        """The commit, with a star where sources differed."""
+        """The short commit, with a star when the sources differed from it."""
         return self.head[:COMMIT_LENGTH] + "*" * self.dirty
 
 
-def read_journal(folder: Path, since: str = SINCE) -> list[Entry]:
-    """Return the entries of runs from a moment on, oldest first."""
+def read_journal(folder: Path, since: str = FIRST_ENTRY) -> list[Entry]:
+    """Return the entries named ``since`` or later, oldest first."""
     paths = sorted(p for p in folder.glob("*.json") if p.name >= since)
     return [msgspec.json.decode(path.read_bytes(), type=Entry) for path in paths]
 
 
-def hunts(entries: Iterable[Entry]) -> list[str]:
-    """Return the rows of the table of hunts."""
+def hunt_rows(entries: Iterable[Entry]) -> list[str]:
+    """Return the Markdown rows of the table of hunts."""
     rows = [
         "| site | code | days | with a rule broken | rules | entry |",
         "|" + " --- |" * 6,
@@ -84,18 +86,22 @@
         if entry.cmd != "hunt":
             continue
         broken = [day for day in entry.days if day.rules or day.fault]
-        found: Counter[str] = Counter()
+        broken_rules: Counter[str] = Counter()
         for day in broken:
-            found.update(day.rules)
-            found.update(["fault"] if day.fault else [])
-        rules = ", ".join(f"{name} {count}" for name, count in sorted(found.items()))
-        shown = [str(len(entry.days)), str(len(broken)), rules]
-        rows.append(_row(entry, shown if entry.ok else [_unshown(entry), "", ""]))
+            broken_rules.update(day.rules)
+            broken_rules.update(["fault"] if day.fault else [])
+        rules = ", ".join(
+            f"{name} {count}" for name, count in sorted(broken_rules.items())
+        )
+        cells = [str(len(entry.days)), str(len(broken)), rules]
+        rows.append(
+            _row(entry, cells if entry.ok else [_reason_without_figures(entry), "", ""])
+        )
     return rows
 
 
-def scores(entries: Iterable[Entry]) -> list[str]:
-    """Return the rows of the table of scores."""
+def score_rows(entries: Iterable[Entry]) -> list[str]:
+    """Return the Markdown rows of the table of scores."""
     rows = [
         "| site | code | mean, days with trouble | worth of each day | gate | entry |",
         "|" + " --- |" * 6,
@@ -104,21 +110,27 @@
         if entry.cmd != "score":
             continue
         standard = [day for day in entry.days if not day.name.startswith("fresh")]
-        trouble = [day.G for day in standard if day.name.startswith(TROUBLE)]
+        trouble = [day.G for day in standard if day.name.startswith(TROUBLE_PREFIXES)]
         if not entry.ok or not trouble or all(day.fault for day in standard):
-            rows.append(_row(entry, [_unshown(entry), "", ""]))
+            rows.append(_row(entry, [_reason_without_figures(entry), "", ""]))
             continue
         mean = sum(trouble) / len(trouble)
-        each = ", ".join(f"{day.name} {day.G:.3f}" for day in standard)
+        day_scores = ", ".join(f"{day.name} {day.G:.3f}" for day in standard)
         failed = [day.name for day in entry.days if not day.gate]
         gate = "failed: " + ", ".join(failed) if failed else "passed"
-        rows.append(_row(entry, [f"{mean:.3f}", each, gate]))
+        rows.append(_row(entry, [f"{mean:.3f}", day_scores, gate]))
     return rows
 
 
-def page(entries: list[Entry]) -> str:
-    """Return the whole page."""
-    parts = [HEAD, "## Hunts\n", *hunts(entries), "\n## Scores\n", *scores(entries)]
+def render_page(entries: list[Entry]) -> str:
+    """Return the text of the page."""
+    parts = [
+        PAGE_HEAD,
+        "## Hunts\n",
+        *hunt_rows(entries),
+        "\n## Scores\n",
+        *score_rows(entries),
+    ]
     return "\n".join(parts) + "\n"
 
 
@@ -126,7 +138,7 @@
     return "| " + " | ".join([entry.site, entry.code, *cells, entry.id]) + " |"
 
 
-def _unshown(entry: Entry) -> str:
+def _reason_without_figures(entry: Entry) -> str:
     faults = {day.fault or "" for day in entry.days}
     return entry.error or (
         f"fault: {faults.pop()}" if len(faults) == 1 else "not shown"
@@ -137,11 +149,11 @@
     """Print or write the page."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--write", action="store_true")
-    made = page(read_journal(JOURNAL))
+    text = render_page(read_journal(JOURNAL))
     if parser.parse_args().write:
-        PAGE.write_text(made, encoding="utf-8")
+        PAGE.write_text(text, encoding="utf-8")
     else:
-        sys.stdout.write(made)
+        sys.stdout.write(text)
     return 0
 
 
--- a/bench/light_fleet.py
+++ b/bench/light_fleet.py
@@ -1,8 +1,9 @@
 """
-Many settings nodes in one process: the settings code of a daemon and nothing else.
+Runs many light nodes in one process; each has only a daemon's settings code.
 
-An entry node follows the platform and tells sidecars; a sidecar node serves the
-inner protocol and tells others. Whole daemons would need 48 MB each.
+An entry node watches the platform and notifies sidecars of new revisions; a sidecar
+node serves the settings calls of the sidecar protocol and notifies other sidecars.
+Complete daemons would need 48 MB each.
 """
 
 import argparse
@@ -29,7 +30,7 @@
 
 
 class LightSidecar:
-    """Only the settings half of a sidecar's inner protocol."""
+    """Serves only the settings calls of the sidecar protocol."""
 
     def __init__(self, sync):
         self._sync = sync
@@ -42,7 +43,7 @@
         return self._sync.revision
 
 
-def write(**pairs):
+def write_log_line(**pairs):
     sys.stderr.write(" ".join(f"{k}={v}" for k, v in pairs.items()) + "\n")
     sys.stderr.flush()
 
@@ -50,10 +51,12 @@
 def open_state(name):
     state = SettingsState()
 
-    def in_force(tree):
-        write(event="in_force", node=name, revision=tree.revision, at=time.time())
+    def report_in_force(tree):
+        write_log_line(
+            event="in_force", node=name, revision=tree.revision, at=time.time()
+        )
 
-    state.add_listener(in_force)
+    state.add_listener(report_in_force)
     return state
 
 
@@ -74,7 +77,7 @@
     port = await stack.enter_async_context(
         serve_sidecar(LightSidecar(sync), "127.0.0.1", 0)
     )
-    write(event="node", node=name, port=port)
+    write_log_line(event="node", node=name, port=port)
 
 
 async def serve(arguments):
@@ -87,7 +90,7 @@
                 await open_entry(name, arguments.platform, stack)
             else:
                 await open_sidecar(name, stack)
-        write(event="listening", port=0)
+        write_log_line(event="listening", port=0)
         await stop.wait()
 
 
--- a/bench/model_state.py
+++ b/bench/model_state.py
@@ -1,4 +1,4 @@
-"""What a sidecar's word of its models adds to each reply, in bytes and time."""
+"""What the state of a sidecar's models adds to each reply, in bytes and time."""
 
 import time
 
@@ -10,18 +10,18 @@
 
 
 def main() -> None:
-    """Print both, without and with models."""
+    """Print size and time of a load without and with models."""
     names = frozenset(f"assessment-{number}b+claims@2" for number in range(MODELS))
     state = ModelState(names, "both", "load assessment-3b+claims@2: done")
-    for words, load in (("without", Load()), ("with", Load(models=state))):
+    for label, load in (("without", Load()), ("with", Load(models=state))):
         size, micros = measure(load)
-        print(f"{words} models: {size} bytes, {micros:.1f} us to write and read")
+        print(f"{label} models: {size} bytes, {micros:.1f} us to encode and decode")
 
 
 def measure(load: Load) -> tuple[int, float]:
-    """Return a load's size and the microseconds of writing and reading it."""
+    """Return a load's encoded size and the microseconds to encode and decode it."""
     size = 0
-    begun = time.perf_counter()
+    start = time.perf_counter()
     for _ in range(ROUNDS):
         message = schema.Load.new_message()
         write_load(message, load)
@@ -29,7 +29,7 @@
         size = len(data)
         with schema.Load.from_bytes(data) as reader:
             read_load(reader)
-    return size, (time.perf_counter() - begun) / ROUNDS * 1e6
+    return size, (time.perf_counter() - start) / ROUNDS * 1e6
 
 
 if __name__ == "__main__":
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,8 +1,8 @@
-"""The path's own cost against calling the endpoints directly, in one run.
+"""Compares requests through an entry with direct calls of the endpoints, in one run.
 
     .venv/bin/python -m bench.path [--requests N] [--concurrency N]
 
-Prints added latency, requests a second per entry core, and resident memory.
+Prints the added latency, the requests per entry core second, and resident memory.
 """
 
 import argparse
@@ -30,14 +30,14 @@
 STAGE_POOLS = ("encoder", "parts-catalogue", "reranker", "assessment")
 QUESTION = "The header lifts but will not lower."
 MS = 1000.0
-HELD_REQUESTS = 1000
-HELD_SECONDS = 30.0
-HELD_SETTLE_SECONDS = 4.0
+IN_FLIGHT_REQUESTS = 1000
+ENDPOINT_DELAY_S = 30.0
+SETTLE_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Latency:
-    """Times of single calls, in milliseconds."""
+    """Quantiles of the times of single calls, in milliseconds."""
 
     p50: float
     p99: float
@@ -46,14 +46,14 @@
 async def main() -> None:
     arguments = parse_arguments()
     plan = fast_plan(load_plan(PLAN), arguments.tokens)
-    wide = {"concurrency": 2000, "queue_capacity": 4000}
+    sidecar_overrides = {"concurrency": 2000, "queue_capacity": 4000}
     async with open_deployment(
-        plan, servers=arguments.servers, sidecar_overrides=wide
+        plan, servers=arguments.servers, sidecar_overrides=sidecar_overrides
     ) as deployment:
         report_idle(deployment)
         await measure_latency(deployment, arguments.requests)
         await measure_throughput(deployment, arguments)
-        await measure_held(deployment)
+        await measure_memory_in_flight(deployment)
 
 
 def parse_arguments() -> argparse.Namespace:
@@ -67,7 +67,7 @@
 
 
 def fast_plan(plan: DeploymentPlan, tokens: int) -> DeploymentPlan:
-    """Return the plan with endpoints that answer at once and enough room."""
+    """Return the plan with only this pipeline, and endpoints without delays."""
     pools = [
         Pool(p.name, p.kind, p.servers, knobs={"tokens": tokens})
         for p in plan.pools
@@ -81,29 +81,32 @@
 
 
 async def measure_latency(deployment: Deployment, requests: int) -> None:
-    direct, path = [], []
+    direct, routed = [], []
     for number in range(requests + 50):
         question = f"{QUESTION} {number}"
         direct.append(await timed(call_directly(deployment, question)))
-        path.append(await timed(deployment.call(PIPELINE, question)))
-    warm = slice(50, None)
-    alone, through = summary(direct[warm]), summary(path[warm])
-    print(f"direct        p50 {alone.p50:7.2f} ms   p99 {alone.p99:7.2f} ms")
-    print(f"through path  p50 {through.p50:7.2f} ms   p99 {through.p99:7.2f} ms")
+        routed.append(await timed(deployment.call(PIPELINE, question)))
+    measured = slice(50, None)
+    direct_ms, routed_ms = (
+        summary(direct[measured]),
+        summary(routed[measured]),
+    )
+    print(f"direct        p50 {direct_ms.p50:7.2f} ms   p99 {direct_ms.p99:7.2f} ms")
+    print(f"through path  p50 {routed_ms.p50:7.2f} ms   p99 {routed_ms.p99:7.2f} ms")
     print(
-        f"added a stage p50 {(through.p50 - alone.p50) / STAGES:7.2f} ms   "
-        f"p99 {(through.p99 - alone.p99) / STAGES:7.2f} ms"
+        f"added a stage p50 {(routed_ms.p50 - direct_ms.p50) / STAGES:7.2f} ms   "
+        f"p99 {(routed_ms.p99 - direct_ms.p99) / STAGES:7.2f} ms"
     )
 
 
 async def call_directly(deployment: Deployment, question: str) -> None:
     encoded = await post(deployment, "encoder", "/v1/embeddings", {"input": question})
     search = {"query": question, "vector": msgspec.Raw(encoded)}
-    found = await post(deployment, "parts-catalogue", "/v1/search", search)
-    documents = msgspec.json.decode(found)["documents"]
+    results = await post(deployment, "parts-catalogue", "/v1/search", search)
+    documents = msgspec.json.decode(results)["documents"]
     rerank = {"query": question, "documents": documents}
-    kept = await post(deployment, "reranker", "/v1/rerank", rerank)
-    prompt = "\n".join([question, *msgspec.json.decode(kept)["documents"]])
+    reranked = await post(deployment, "reranker", "/v1/rerank", rerank)
+    prompt = "\n".join([question, *msgspec.json.decode(reranked)["documents"]])
     body = {"prompt": prompt, "stream": True}
     await post(deployment, "assessment", "/v1/completions", body)
 
@@ -114,9 +117,9 @@
         return await response.read()
 
 
-async def timed(work) -> float:
+async def timed(operation) -> float:
     start = time.perf_counter()
-    await work
+    await operation
     return (time.perf_counter() - start) * MS
 
 
@@ -130,13 +133,13 @@
 async def measure_throughput(
     deployment: Deployment, arguments: argparse.Namespace
 ) -> None:
-    left = iter(range(arguments.load_requests))
+    numbers = iter(range(arguments.load_requests))
     statuses: dict[int, int] = {}
 
     async def client(session: aiohttp.ClientSession) -> None:
         url = f"{deployment.entry_url()}/v1/pipelines/{PIPELINE}/requests"
         key = deployment.plan.accounts[0].key
-        for number in left:
+        for number in numbers:
             body = msgspec.json.encode({"input": f"{QUESTION} {number}"})
             async with session.post(
                 url, data=body, headers={"Authorization": f"Bearer {key}"}
@@ -146,20 +149,22 @@
 
     entry = deployment.entries[0]
     sidecars = [pair.sidecar for pair in deployment.endpoints.values()]
-    spent = cpu_seconds(entry.pid)
-    spent_beside = sum(cpu_seconds(s.pid) for s in sidecars)
+    entry_s = cpu_seconds(entry.pid)
+    sidecars_s = sum(cpu_seconds(s.pid) for s in sidecars)
     start = time.perf_counter()
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         await asyncio.gather(*[client(session) for _ in range(arguments.concurrency)])
     elapsed = time.perf_counter() - start
-    spent = cpu_seconds(entry.pid) - spent
-    spent_beside = sum(cpu_seconds(s.pid) for s in sidecars) - spent_beside
-    done = arguments.load_requests
-    print(f"load          {done} four-stage requests, statuses {statuses}")
-    print(f"              {done / elapsed:7.0f} requests/s")
-    print(f"              {done / spent:7.0f} requests per entry core second")
-    print(f"              {spent_beside / done / STAGES * MS:7.2f} sidecar ms a stage")
+    entry_s = cpu_seconds(entry.pid) - entry_s
+    sidecars_s = sum(cpu_seconds(s.pid) for s in sidecars) - sidecars_s
+    requests = arguments.load_requests
+    print(f"load          {requests} four-stage requests, statuses {statuses}")
+    print(f"              {requests / elapsed:7.0f} requests/s")
+    print(f"              {requests / entry_s:7.0f} requests per entry core second")
+    print(
+        f"              {sidecars_s / requests / STAGES * MS:7.2f} sidecar ms a stage"
+    )
 
 
 # Memory
@@ -171,24 +176,26 @@
     print(f"              sidecar {memory_mb(sidecar.pid):6.1f} MB")
 
 
-async def measure_held(deployment: Deployment) -> None:
+async def measure_memory_in_flight(deployment: Deployment) -> None:
     encoders = deployment.pool("encoder")
     for pair in encoders:
-        await deployment.set_knobs(pair.service, slow=HELD_SECONDS)
+        await deployment.set_knobs(pair.service, slow=ENDPOINT_DELAY_S)
     entry, sidecar = deployment.entries[0], encoders[0].sidecar
     before = memory_mb(entry.pid), memory_mb(sidecar.pid)
     calls = [
         asyncio.create_task(
-            deployment.call(PIPELINE, QUESTION, deadline_ms=int(HELD_SECONDS * MS))
+            deployment.call(PIPELINE, QUESTION, deadline_ms=int(ENDPOINT_DELAY_S * MS))
         )
-        for _ in range(HELD_REQUESTS)
+        for _ in range(IN_FLIGHT_REQUESTS)
     ]
-    await asyncio.sleep(HELD_SETTLE_SECONDS)
+    await asyncio.sleep(SETTLE_S)
     after = memory_mb(entry.pid), memory_mb(sidecar.pid)
-    held = sum(not call.done() for call in calls)
-    share = held / len(encoders)
-    print(f"held          {held} requests in flight")
-    print(f"              entry +{(after[0] - before[0]) / held * 1000:6.1f} MB/1,000")
+    active = sum(not call.done() for call in calls)
+    share = active / len(encoders)
+    print(f"held          {active} requests in flight")
+    print(
+        f"              entry +{(after[0] - before[0]) / active * 1000:6.1f} MB/1,000"
+    )
     print(
         f"              sidecar +{(after[1] - before[1]) / share * 1000:4.1f} MB/1,000"
     )
--- a/bench/platform_calls.py
+++ b/bench/platform_calls.py
@@ -1,4 +1,4 @@
-"""Count the platform calls of idle entries and sidecars: ``--seconds N``."""
+"""Count the platform calls of idle entries and sidecars over ``--seconds N``."""
 
 import argparse
 import asyncio
@@ -10,17 +10,17 @@
 PLAN = Path(__file__).parent.parent / "examples" / "agrosalv.toml"
 
 
-async def _counts(deployment: Deployment) -> dict[str, int]:
+async def _read_counts(deployment: Deployment) -> dict[str, int]:
     async with deployment.http.get(f"{deployment.platform_url}/_counts") as response:
-        found: dict[str, int] = await response.json()
-        return found
+        counts: dict[str, int] = await response.json()
+        return counts
 
 
 async def _run(seconds: float) -> None:
     async with open_deployment(load_plan(PLAN), entries=3, servers=1) as deployment:
-        before = await _counts(deployment)
+        before = await _read_counts(deployment)
         await asyncio.sleep(seconds)
-        after = await _counts(deployment)
+        after = await _read_counts(deployment)
         for name in sorted(after):
             rate = (after[name] - before.get(name, 0)) / seconds
             sys.stdout.write(f"{name} a second: {rate:.3f}\n")
--- a/bench/policy_slopes.py
+++ b/bench/policy_slopes.py
@@ -1,14 +1,14 @@
 """
-Work per decision and bytes of state of the policy, at several sizes.
+Measures the policy's work per decision and its memory at several sizes.
 
-Run ``.venv/bin/python -m bench.policy_slopes``. A decision is one event given to a
-planner. Times vary on a shared machine, so two measures stand beside each other:
+Run ``.venv/bin/python -m bench.policy_slopes``. A decision is the handling of one
+event by a planner. Since times vary on a shared machine, there are two measures: the
 bytecode instructions, which are the same in each run, and the least time of several
-rounds, in which every size has its turn. Bytes are what ``tracemalloc`` says is
-held, settings left out.
+rounds, each of which runs every size. Memory is what ``tracemalloc`` reports, without
+the settings.
 
-``--requests N --size E,A,F`` gives one size N requests and prints nothing: for
-``valgrind --tool=callgrind``, which counts the processor's own instructions.
+``--requests N --size E,A,F`` runs N requests at one size and prints nothing. It is
+meant for ``valgrind --tool=callgrind``, which counts processor instructions.
 """
 
 import argparse
@@ -43,7 +43,7 @@
 IN_FLIGHT = (10, 100, 1_000, 4_000)
 QUEUED = (10, 100, 1_000)
 ROUNDS = 7
-REQUESTS_A_ROUND = 150
+REQUESTS_PER_ROUND = 150
 REQUESTS_COUNTED = 100
 CHUNKS = 4
 STAGES = ("encoder", "retriever", "reranker", "engine")
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Size:
-    """Endpoints and client accounts configured, requests in flight."""
+    """The numbers of configured endpoints and accounts, and of requests in flight."""
 
     endpoints: int = 100
     accounts: int = 5
@@ -64,8 +64,8 @@
 
 
 @dataclass
-class Spent:
-    """What the events of one kind took so far."""
+class EventTotals:
+    """Totals over the events of one kind."""
 
     events: int = 0
     seconds: float = 0.0
@@ -74,7 +74,7 @@
 
 @dataclass
 class Figures:
-    """Least microseconds and mean instructions of an event, by kind; bytes held."""
+    """Least microseconds and mean instructions per event, by kind, and memory."""
 
     us: dict[str, float] = field(default_factory=dict)
     instructions: dict[str, float] = field(default_factory=dict)
@@ -83,25 +83,25 @@
 
     @property
     def request_instructions(self) -> float:
-        """Instructions for one request of four stages and a tick."""
+        """Instructions for the events of one four-stage request, and one tick."""
         counts = {"arrival": 1, "reply": len(STAGES), "progress": CHUNKS, "tick": 1}
         return sum(self.instructions[kind] * counts[kind] for kind in KINDS)
 
 
 def settings(endpoints: int, accounts: int) -> PolicySettings:
-    """Return settings with so many endpoints and accounts."""
-    made = {}
+    """Return settings with ``endpoints`` endpoints and ``accounts`` accounts."""
+    configured = {}
     for number in range(endpoints):
         pool = STAGES[number % len(STAGES)]
         name = f"{pool}-{number}"
         region = REGIONS[number // len(STAGES) % len(REGIONS)]
-        made[name] = Endpoint(name, pool, name, region, region, "127.0.0.1:1")
+        configured[name] = Endpoint(name, pool, name, region, region, "127.0.0.1:1")
     limits = {f"account-{n}": AccountLimits(1e6, 1e6) for n in range(accounts)}
-    return PolicySettings(1, REGIONS[0], REGIONS[0], made, limits)
+    return PolicySettings(1, REGIONS[0], REGIONS[0], configured, limits)
 
 
 def pipelines() -> list[Pipeline]:
-    """Return one pipeline a model."""
+    """Return one pipeline for each model."""
     return [
         Pipeline(
             model,
@@ -115,7 +115,7 @@
 
 
 class Driver:
-    """Feeds a planner requests and their replies, and measures each kind of event."""
+    """Sends a planner requests and replies, and measures each kind of event."""
 
     def __init__(self, size: Size) -> None:
         self._random = Random(SEED)
@@ -126,10 +126,10 @@
         self._sends: list[Send] = []
         self._counter: BytecodeCounter | None = None
         self.planner = Planner(settings(size.endpoints, size.accounts), Random(SEED))
-        self.spent = {kind: Spent() for kind in KINDS}
+        self.totals = {kind: EventTotals() for kind in KINDS}
 
     def fill(self) -> None:
-        """Bring as many requests in flight as the size says, and learn from some."""
+        """Start the requests in flight, then complete more to train estimates."""
         for _ in range(self._size.in_flight):
             self._arrive()
         for _ in range(max(self._size.accounts, self._size.in_flight)):
@@ -138,7 +138,7 @@
                 self._reply()
 
     def run(self, requests: int) -> None:
-        """Let so many requests arrive and as many replies come in as keep step."""
+        """Run requests, with replies that keep the number in flight constant."""
         for _ in range(requests):
             self._arrive()
             for _ in STAGES:
@@ -147,13 +147,13 @@
                 self._progress()
             self._tick()
 
-    def take_spent(self) -> dict[str, Spent]:
-        """Return what was spent since the last call."""
-        spent, self.spent = self.spent, {kind: Spent() for kind in KINDS}
-        return spent
+    def take_totals(self) -> dict[str, EventTotals]:
+        """Return the totals since the last call and reset them."""
+        totals, self.totals = self.totals, {kind: EventTotals() for kind in KINDS}
+        return totals
 
     def count(self, counter: BytecodeCounter | None) -> None:
-        """Count instructions from now on, or times when ``None``."""
+        """Count instructions from now on; with ``None``, measure times."""
         self._counter = counter
 
     def _arrive(self) -> None:
@@ -165,7 +165,9 @@
             self._now + DEADLINE_S,
             input_bytes=2_000,
         )
-        self._take("arrival", lambda: self.planner.request_arrived(self._now, arrival))
+        self._measure(
+            "arrival", lambda: self.planner.request_arrived(self._now, arrival)
+        )
 
     def _reply(self) -> None:
         index = self._random.randrange(len(self._sends))
@@ -175,39 +177,39 @@
         report = LoadReport(1, 1, 0, 8, 0.05, 0.0, False)
         result = AttemptResult(AttemptOutcome.FINISHED, run_s, 0.0, 2_000)
 
-        def give() -> list[Action]:
+        def handle_reply() -> list[Action]:
             self.planner.load_report(self._now, send.endpoint, report)
             return self.planner.reply(self._now, send.attempt, result)
 
-        self._take("reply", give)
+        self._measure("reply", handle_reply)
 
     def _progress(self) -> None:
         send = self._random.choice(self._sends)
-        self._take(
+        self._measure(
             "progress", lambda: self.planner.progress(self._now, send.attempt, 1)
         )
 
     def _tick(self) -> None:
         self._now += 0.01
-        self._take("tick", lambda: self.planner.tick(self._now))
+        self._measure("tick", lambda: self.planner.tick(self._now))
 
-    def _take(self, kind: str, give: Callable[[], list[Action]]) -> None:
-        spent = self.spent[kind]
-        spent.events += 1
+    def _measure(self, kind: str, handle: Callable[[], list[Action]]) -> None:
+        totals = self.totals[kind]
+        totals.events += 1
         if self._counter is None:
-            began = time.perf_counter()
-            actions = give()
-            spent.seconds += time.perf_counter() - began
+            start = time.perf_counter()
+            actions = handle()
+            totals.seconds += time.perf_counter() - start
         else:
             before = self._counter.instructions
             with self._counter.counting():
-                actions = give()
-            spent.instructions += self._counter.instructions - before
+                actions = handle()
+            totals.instructions += self._counter.instructions - before
         self._sends.extend(action for action in actions if isinstance(action, Send))
 
 
 def build(size: Size, figures: Figures) -> Driver:
-    """Return a driver with its requests in flight; notes the bytes that they take."""
+    """Return a driver with its requests in flight; stores their memory in figures."""
     gc.collect()
     tracemalloc.start()
     driver = Driver(size)
@@ -220,32 +222,32 @@
 
 
 def time_round(driver: Driver, figures: Figures) -> None:
-    """Give a driver a round of requests; keeps the least times."""
-    driver.take_spent()
-    driver.run(REQUESTS_A_ROUND)
-    spent = driver.take_spent()
+    """Run a round of requests; keep the least times in ``figures``."""
+    driver.take_totals()
+    driver.run(REQUESTS_PER_ROUND)
+    totals = driver.take_totals()
     for kind in KINDS:
-        us = spent[kind].seconds / max(1, spent[kind].events) * 1e6
+        us = totals[kind].seconds / max(1, totals[kind].events) * 1e6
         figures.us[kind] = min(us, figures.us.get(kind, us))
-    whole = sum(s.seconds for s in spent.values()) / REQUESTS_A_ROUND * 1e6
-    figures.request_us = min(figures.request_us, whole)
+    request_us = sum(s.seconds for s in totals.values()) / REQUESTS_PER_ROUND * 1e6
+    figures.request_us = min(figures.request_us, request_us)
 
 
 def count_instructions(driver: Driver, figures: Figures) -> None:
-    """Give a driver requests; notes the instructions."""
-    driver.take_spent()
+    """Run requests; store the instructions per event in ``figures``."""
+    driver.take_totals()
     driver.count(BytecodeCounter())
     driver.run(REQUESTS_COUNTED)
     driver.count(None)
-    for kind, spent in driver.take_spent().items():
-        figures.instructions[kind] = spent.instructions / max(1, spent.events)
+    for kind, totals in driver.take_totals().items():
+        figures.instructions[kind] = totals.instructions / max(1, totals.events)
 
 
 def measure(sizes: list[Size]) -> dict[Size, Figures]:
     """Return the figures of every size."""
     figures = {size: Figures() for size in sizes}
     drivers = {size: build(size, figures[size]) for size in figures}
-    # Counted first: the state that the times leave behind must not matter.
+    # Count before the timed rounds, whose leftover state would affect the counts.
     for size, driver in drivers.items():
         count_instructions(driver, figures[size])
     for _ in range(ROUNDS):
@@ -259,16 +261,16 @@
     queue = RunQueue(1, queued + 1)
     for serial in range(queued):
         queue.offer(0.0, QueuedCall(0, 1e6 + serial % 97, serial))
-    began = time.perf_counter()
-    for serial in range(queued, queued + REQUESTS_A_ROUND):
+    start = time.perf_counter()
+    for serial in range(queued, queued + REQUESTS_PER_ROUND):
         queue.offer(0.0, QueuedCall(0, 1e6 + serial % 97, serial))
         queue.dropped(0.0)
         queue.next_call(0.0)
         queue.finished(0.0, 0.05)
-    return (time.perf_counter() - began) / REQUESTS_A_ROUND * 1e6
+    return (time.perf_counter() - start) / REQUESTS_PER_ROUND * 1e6
 
 
-def show(label: str, number: int, figures: Figures) -> None:
+def print_row(label: str, number: int, figures: Figures) -> None:
     """Print one row of the table."""
     cells = [label, f"{number:,}"]
     cells += [f"{figures.instructions[kind]:.0f}" for kind in KINDS]
@@ -278,18 +280,23 @@
     sys.stdout.write("| " + " | ".join(cells) + " |\n")
 
 
-def show_all() -> None:
+def print_tables() -> None:
     """Measure every size and print the tables."""
     rows = [("endpoints", n, Size(endpoints=n)) for n in ENDPOINTS]
     rows += [("accounts", n, Size(accounts=n)) for n in ACCOUNTS]
     rows += [("in flight", n, Size(in_flight=n)) for n in IN_FLIGHT]
     figures = measure([size for _, _, size in rows])
-    heads = ["grows", "size", *(f"{kind} instr." for kind in KINDS), "request instr."]
-    heads += [*(f"{kind} us" for kind in KINDS), "request us", "MB held"]
-    sys.stdout.write("| " + " | ".join(heads) + " |\n")
-    sys.stdout.write("| --- " * len(heads) + "|\n")
+    headings = [
+        "grows",
+        "size",
+        *(f"{kind} instr." for kind in KINDS),
+        "request instr.",
+    ]
+    headings += [*(f"{kind} us" for kind in KINDS), "request us", "MB held"]
+    sys.stdout.write("| " + " | ".join(headings) + " |\n")
+    sys.stdout.write("| --- " * len(headings) + "|\n")
     for label, number, size in rows:
-        show(label, number, figures[size])
+        print_row(label, number, figures[size])
     sys.stdout.write("\n| queued | queue, start and finish us |\n| --- | --- |\n")
     for queued in QUEUED:
         least = min(measure_queue(queued) for _ in range(ROUNDS))
@@ -297,13 +304,13 @@
 
 
 def main() -> None:
-    """Print the tables, or give one size some requests."""
+    """Print the tables, or run requests at one size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--requests", type=int, default=0)
     parser.add_argument("--size", default="100,5,100")
     arguments = parser.parse_args()
     if "--size" not in sys.argv and "--requests" not in sys.argv:
-        show_all()
+        print_tables()
         return
     driver = Driver(Size(*map(int, arguments.size.split(","))))
     driver.fill()
--- a/bench/prefixes.py
+++ b/bench/prefixes.py
@@ -1,9 +1,10 @@
 """
-Blocks of prompts served from engines' caches, with and without routing by prefix.
+Measures how many prompt blocks the engines' caches serve, by ``prefix_blocks``.
 
-Run ``.venv/bin/python -m bench.prefixes``. Threads grow post by post and are sent
-through entries in turn; every process is real. Without: entries that take no prefix
-(``prefix_blocks = 0``). Prints also what the news costs.
+Run ``.venv/bin/python -m bench.prefixes``. Threads of messages grow post by post and
+are sent through randomly chosen entries; all daemons run as processes.
+With ``prefix_blocks = 0``, entries do not route by prefix. Prints the processor time
+and the size of replies that carry cache updates too.
 """
 
 import argparse
@@ -31,12 +32,16 @@
 SETTLE_S = 1.0
 SEED = 20261203
 MS = 1000.0
-BLOCKS_TOLD = (0, 5, 64)
+BLOCKS_REPORTED = (0, 5, 64)
 
 
 @dataclass(frozen=True)
 class Figures:
-    """What one run took; times are milliseconds of a core a request."""
+    """Results of one run; times are milliseconds of a core per request.
+
+    ``from_cache`` is the number of blocks served from caches, as a share of all prompt
+    blocks; ``repeated`` is the same number as a share of the blocks sent before.
+    """
 
     from_cache: float
     repeated: float
@@ -51,14 +56,14 @@
     )
     print("| --- | --- | --- | --- | --- |")
     for blocks in arguments.blocks:
-        found = await measure(arguments, blocks)
+        figures = await measure(arguments, blocks)
         print(
-            f"| {blocks} | {found.from_cache:.3f} | {found.repeated:.3f} "
-            f"| {found.entry_ms:.2f} | {found.sidecar_ms:.2f} |"
+            f"| {blocks} | {figures.from_cache:.3f} | {figures.repeated:.3f} "
+            f"| {figures.entry_ms:.2f} | {figures.sidecar_ms:.2f} |"
         )
-    print("\n| blocks told | bytes of a reply |\n| --- | --- |")
-    for told in BLOCKS_TOLD:
-        print(f"| {told} | {reply_bytes(told)} |")
+    print("\n| blocks reported | bytes of a reply |\n| --- | --- |")
+    for blocks in BLOCKS_REPORTED:
+        print(f"| {blocks} | {reply_bytes(blocks)} |")
 
 
 def parse_arguments() -> argparse.Namespace:
@@ -73,8 +78,8 @@
     return parser.parse_args()
 
 
-def one_region(arguments: argparse.Namespace) -> DeploymentPlan:
-    """Return the example plan in one region; its engines gain by their caches."""
+def one_region_plan(arguments: argparse.Namespace) -> DeploymentPlan:
+    """Return the example plan with one region and engines that profit from caches."""
     plan = load_plan(PLAN)
     engines = {
         "tokens": 4,
@@ -84,13 +89,13 @@
     }
     settings = dict(plan.settings)
     stages = settings[f"pipeline:{PIPELINE}"]
-    needed = {stage["pool"] for stage in stages["stage"].values()}
+    stage_pools = {stage["pool"] for stage in stages["stage"].values()}
     pools = [
         Pool(p.name, p.kind, arguments.engines, knobs=engines)
         if p.kind == "engine"
         else Pool(p.name, p.kind, 2)
         for p in plan.pools
-        if p.name in needed
+        if p.name in stage_pools
     ]
     return msgspec.structs.replace(
         plan,
@@ -101,9 +106,9 @@
 
 
 async def measure(arguments: argparse.Namespace, blocks: int) -> Figures:
-    """Send the threads through a new deployment and return the figures."""
+    """Send the threads through a new deployment; return the figures."""
     async with open_deployment(
-        one_region(arguments),
+        one_region_plan(arguments),
         entries=arguments.entries,
         entry_overrides={"prefix_blocks": blocks},
     ) as deployment:
@@ -125,12 +130,12 @@
 
 
 async def send_threads(deployment: Deployment, arguments: argparse.Namespace) -> None:
-    """Send every thread post by post, some at once, through the entries by lot."""
+    """Send every thread post by post, concurrently, each time to a random entry."""
     random = Random(SEED)
-    room = asyncio.Semaphore(arguments.concurrency)
+    limiter = asyncio.Semaphore(arguments.concurrency)
 
     async def send(number: int, posts: int, entry: int) -> None:
-        async with room:
+        async with limiter:
             text = thread_text(number, posts)
             answer = await deployment.call(PIPELINE, text, entry=entry)
             if answer.status != 200:
@@ -146,7 +151,7 @@
 
 
 def thread_text(number: int, posts: int) -> str:
-    """Return a thread's text after so many posts."""
+    """Return a thread's text after ``posts`` posts."""
     random = Random(number)
     words = [f"thread {number}:"]
     text = ""
@@ -157,16 +162,16 @@
 
 
 def repeated_blocks(threads: int) -> int:
-    """Return the whole blocks that had been sent to some engine before."""
+    """Return how many complete blocks are sent that an earlier request contained."""
     return threads * sum(posts * POST_CHARS // 64 for posts in range(1, POSTS))
 
 
-def reply_bytes(told: int) -> int:
-    """Return the size of a reply that tells so many blocks, before framing."""
+def reply_bytes(blocks: int) -> int:
+    """Return the size of a reply that reports ``blocks`` blocks, before framing."""
     message = schema.StageReply.new_message()
-    news = CacheUpdate(told, tuple(range(1 << 60, (1 << 60) + told)))
+    update = CacheUpdate(blocks, tuple(range(1 << 60, (1 << 60) + blocks)))
     call_id = CallId("0123456789abcdef", 3, 1)
-    write_reply(message, StageReply(call_id, Status.FINISHED, b"{}", cache=news))
+    write_reply(message, StageReply(call_id, Status.FINISHED, b"{}", cache=update))
     return len(message.to_bytes())
 
 
--- a/bench/process_cost.py
+++ b/bench/process_cost.py
@@ -1,4 +1,4 @@
-"""Processor time, memory and traffic of a process, read from the kernel."""
+"""Processor time, memory and I/O of a process, read from ``/proc``."""
 
 import os
 from pathlib import Path
@@ -8,21 +8,22 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return user and system time spent since the process started."""
+    """Return the user and system time used since the process started."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
-    """Return resident memory."""
+    """Return the resident memory, in megabytes of 10**6 bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_MB
 
 
-def bytes_moved(pid: int) -> int:
+def io_bytes(pid: int) -> int:
     """
-    Return the bytes read and written so far.
+    Return the bytes read and written since the process started.
 
-    Sockets count, since uvloop reads and writes them as files; so do log lines.
+    This includes sockets, because uvloop uses read and write calls on them, and log
+    lines.
     """
     lines = Path(f"/proc/{pid}/io").read_text().splitlines()
     counts = dict(line.split(": ") for line in lines)
--- a/bench/settings_propagation.py
+++ b/bench/settings_propagation.py
@@ -1,9 +1,9 @@
 """
-From an acknowledged change to its being in force on every process.
+Measures the time from a change's acknowledgement until each process applies it.
 
-Whole daemons, and beside them light nodes (see light_fleet.py). Prints the lag of
-each process after the acknowledgement, the platform's calls per change and while
-idle, by role, and how long a killed entry takes to be ready again.
+The fleet consists of complete daemons and of light nodes (see light_fleet.py). Prints
+the delay of the processes, the platform's calls per change and while idle, by role,
+and how long a killed entry takes to be ready again.
 """
 
 import argparse
@@ -24,11 +24,11 @@
 LIGHT_NODE = re.compile(r"event=node node=(\S+) port=(\d+)")
 LIGHT_PER_PROCESS = 30
 SETTLE_S = 5.0
-CLIENT_TEXT = "The combine's header lifts but will not lower."
+REQUEST_TEXT = "The combine's header lifts but will not lower."
 
 
 class Fleet:
-    """A deployment with light nodes beside it."""
+    """A deployment and the light nodes that run with it."""
 
     def __init__(self, deployment, stack):
         self.deployment = deployment
@@ -36,7 +36,7 @@
         self.nodes = 0
         self._stack = stack
 
-    async def add_light(self, role, count):
+    async def start_light_nodes(self, role, count):
         for first in range(0, count, LIGHT_PER_PROCESS):
             nodes = min(LIGHT_PER_PROCESS, count - first)
             process = await start_process(
@@ -54,7 +54,7 @@
             self.light.append(process)
             self.nodes += nodes
 
-    async def register_light(self):
+    async def register_light_endpoints(self):
         firm = {}
         for process in self.light:
             for name, port in re.findall(LIGHT_NODE, "\n".join(process.lines)):
@@ -68,20 +68,20 @@
         if firm:
             await self.deployment.apply({"firm": firm})
 
-    def in_force(self):
-        """Return, by revision and process, when it came into force."""
-        found = {}
-        whole = [*self.deployment.entries]
-        whole += [pair.sidecar for pair in self.deployment.endpoints.values()]
-        for process in whole:
+    def applied_at(self):
+        """Return when each process applied each revision, by revision and process."""
+        applied = {}
+        daemons = [*self.deployment.entries]
+        daemons += [pair.sidecar for pair in self.deployment.endpoints.values()]
+        for process in daemons:
             for at, revision in IN_FORCE.findall("\n".join(process.lines)):
                 when = datetime.fromisoformat(at).timestamp()
-                found.setdefault(int(revision), {})[process.name] = when
+                applied.setdefault(int(revision), {})[process.name] = when
         for process in self.light:
             lines = "\n".join(process.lines)
             for node, revision, at in LIGHT_IN_FORCE.findall(lines):
-                found.setdefault(int(revision), {})[node] = float(at)
-        return found
+                applied.setdefault(int(revision), {})[node] = float(at)
+        return applied
 
     @property
     def size(self):
@@ -101,7 +101,7 @@
 
 
 async def change(fleet, number):
-    """Commit one change; return its revision, when it was sent and acknowledged."""
+    """Commit a change; return status, revision, and times of sending and response."""
     deployment = fleet.deployment
     body = {
         "who": "bench",
@@ -119,18 +119,18 @@
         return response.status, document.get("number"), sent, time.time()
 
 
-async def load(fleet, rate, counter):
+async def generate_load(fleet, rate, counter):
     """Send requests at a steady rate until cancelled."""
     tasks = set()
     number = 0
 
-    async def one(entry):
-        response = await fleet.deployment.call("assessment", CLIENT_TEXT, entry=entry)
+    async def send_request(entry):
+        response = await fleet.deployment.call("assessment", REQUEST_TEXT, entry=entry)
         counter[response.status] = counter.get(response.status, 0) + 1
 
     while True:
         number += 1
-        task = asyncio.create_task(one(number % len(fleet.deployment.entries)))
+        task = asyncio.create_task(send_request(number % len(fleet.deployment.entries)))
         tasks.add(task)
         task.add_done_callback(tasks.discard)
         await asyncio.sleep(1 / rate)
@@ -155,29 +155,31 @@
 
 async def measure_changes(fleet, count, pause):
     before = await fleet.counts()
-    made = []
+    committed = []
     for number in range(count):
         status, revision, sent, acknowledged = await change(fleet, number)
         if status == 200:
-            made.append((revision, sent, acknowledged))
+            committed.append((revision, sent, acknowledged))
         else:
             print(f"change {number}: status {status}")
         await asyncio.sleep(pause)
     after = await fleet.counts()
     await asyncio.sleep(SETTLE_S)
-    found = fleet.in_force()
-    lags, last, missing, took = [], [], 0, []
-    for revision, sent, acknowledged in made:
-        times = found.get(revision, {})
+    applied = fleet.applied_at()
+    lags, last, missing, commit_times = [], [], 0, []
+    for revision, sent, acknowledged in committed:
+        times = applied.get(revision, {})
         missing += fleet.size - len(times)
         lags += [max(0.0, at - acknowledged) for at in times.values()]
         last.append(max(0.0, max(times.values()) - acknowledged))
-        took.append(acknowledged - sent)
-    describe("sent to acknowledged", took)
+        commit_times.append(acknowledged - sent)
+    describe("sent to acknowledged", commit_times)
     describe("acknowledged to in force, each process", lags)
     describe("acknowledged to in force, last process", last)
     print(f"processes that skipped a revision on the way: {missing}")
-    calls = {k: round(v / len(made), 2) for k, v in difference(before, after).items()}
+    calls = {
+        k: round(v / len(committed), 2) for k, v in difference(before, after).items()
+    }
     print(f"platform calls per change, all processes together: {calls}")
 
 
@@ -188,11 +190,11 @@
 
 async def measure_idle(fleet, seconds):
     before = await fleet.counts()
-    used = sum(map(processor_seconds, fleet.light))
+    cpu_s = sum(map(processor_seconds, fleet.light))
     await asyncio.sleep(seconds)
     if fleet.light:
-        used = sum(map(processor_seconds, fleet.light)) - used
-        share = 100 * used / seconds / fleet.nodes
+        cpu_s = sum(map(processor_seconds, fleet.light)) - cpu_s
+        share = 100 * cpu_s / seconds / fleet.nodes
         print(f"processor time of a light node, idle: {share:.2f}% of a core")
     calls = difference(before, await fleet.counts())
     print(f"platform calls in {seconds:.0f} s idle, all processes together: {calls}")
@@ -213,9 +215,11 @@
 
 
 async def measure_restarts(fleet, count, label):
-    found = [await restart(fleet, 0) for _ in range(count)]
-    describe(f"entry, start to listening, {label}", [a for a, _ in found])
-    describe(f"entry, start to ready, {label}", [b for _, b in found])
+    times = [await restart(fleet, 0) for _ in range(count)]
+    describe(
+        f"entry, start to listening, {label}", [listening for listening, _ in times]
+    )
+    describe(f"entry, start to ready, {label}", [ready for _, ready in times])
 
 
 async def measure(arguments):
@@ -225,9 +229,9 @@
             open_deployment(plan, arguments.entries, arguments.servers)
         )
         fleet = Fleet(deployment, stack)
-        await fleet.add_light("sidecar", arguments.light_sidecars)
-        await fleet.add_light("entry", arguments.light_entries)
-        await fleet.register_light()
+        await fleet.start_light_nodes("sidecar", arguments.light_sidecars)
+        await fleet.start_light_nodes("entry", arguments.light_entries)
+        await fleet.register_light_endpoints()
         await asyncio.sleep(SETTLE_S)
         print(
             f"whole entries {arguments.entries}, whole sidecars "
@@ -241,7 +245,7 @@
             await deployment.set_knobs(deployment.platform, slow=arguments.slow)
         counter = {}
         if arguments.load:
-            task = asyncio.create_task(load(fleet, arguments.load, counter))
+            task = asyncio.create_task(generate_load(fleet, arguments.load, counter))
             stack.callback(task.cancel)
         await measure_changes(fleet, arguments.changes, arguments.pause)
         if arguments.load:
--- a/bench/settings_size.py
+++ b/bench/settings_size.py
@@ -1,9 +1,10 @@
 """
-What the settings cost one process, by the number of endpoints and accounts.
+Memory and time that the settings cost one process, by endpoints and accounts.
 
-Prints resident memory of the tree, the bytes that an entry holds in all, and the
-time of one change: fold, links, the view of an entry, the check at commit; and a
-snapshot's size and time. Fifteen endpoints share a host.
+Prints the tree's resident memory, all the bytes an entry holds for settings, and the
+time of each step of one change: applying it to the tree, choosing links, building an
+entry's view, and the check at commit. Prints a snapshot's size and coding time too.
+Fifteen endpoints share a host.
 """
 
 import argparse
@@ -22,16 +23,16 @@
 PIPELINES = 7
 STAGES = 5
 REPEATS = 5
-ENDPOINTS_A_HOST = 15
-OPS_A_CHANGE = 500
-PAGE = 4096
+ENDPOINTS_PER_HOST = 15
+OPS_PER_CHANGE = 500
+PAGE_BYTES = 4096
 
 
-def resident():
-    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE
+def resident_bytes():
+    return int(Path("/proc/self/statm").read_text().split()[1]) * PAGE_BYTES
 
 
-def ops_of(endpoints, accounts):
+def build_ops(endpoints, accounts):
     ops = []
     for number in range(PIPELINES):
         scope = f"pipeline:p{number}"
@@ -47,7 +48,7 @@
     for number in range(endpoints):
         table = {
             "pool": f"pool-s{number % STAGES}",
-            "host": f"host-{number // ENDPOINTS_A_HOST}",
+            "host": f"host-{number // ENDPOINTS_PER_HOST}",
             "region": f"region-{number % 4}",
             "data_centre": f"dc-{number % 14}",
             "address": f"10.0.{number // 250}.{number % 250}:7000",
@@ -57,14 +58,14 @@
     return ops
 
 
-def timed(name, work):
-    best = min(_once(work) for _ in range(REPEATS))
+def print_best_time(name, operation):
+    best = min(time_once(operation) for _ in range(REPEATS))
     print(f"{name}: {1000 * best:.2f} ms")
 
 
-def _once(work):
+def time_once(operation):
     started = time.perf_counter()
-    work()
+    operation()
     return time.perf_counter() - started
 
 
@@ -73,34 +74,41 @@
     parser.add_argument("--endpoints", type=int, default=11_000)
     parser.add_argument("--accounts", type=int, default=940)
     arguments = parser.parse_args()
-    first = split_snapshot(fresh(arguments).tree)
-    before = resident()
-    tree = decode_tree(b"".join(first.parts))
-    grown = resident() - before
-    size = sum(map(len, first.parts))
+    snapshot = split_snapshot(build_change_log(arguments).tree)
+    before = resident_bytes()
+    tree = decode_tree(b"".join(snapshot.parts))
+    tree_bytes = resident_bytes() - before
+    size = sum(map(len, snapshot.parts))
     print(f"endpoints {arguments.endpoints}, accounts {arguments.accounts}")
-    print(f"tree, resident: {grown / 1e6:.1f} MB")
-    print(f"held by an entry: {held_by_an_entry(arguments) / 1e6:.1f} MB")
-    print(f"snapshot: {size / 1e6:.2f} MB in {len(first.parts)} parts")
+    print(f"tree, resident: {tree_bytes / 1e6:.1f} MB")
+    print(f"held by an entry: {measure_entry_bytes(arguments) / 1e6:.1f} MB")
+    print(f"snapshot: {size / 1e6:.2f} MB in {len(snapshot.parts)} parts")
     op = Op("firm", "limit.share", 2)
     model = Op("account:a1/pipeline:p0", "stage.s0.model", "m-2")
     register = Op("firm", "endpoint.e1", {**tree.get(Scope(), "endpoint.e2")})
-    timed("fold of a change", lambda: tree.apply([op]))
+    print_best_time("apply a change", lambda: tree.apply([op]))
     endpoints = endpoint_registrations(tree)
-    timed("endpoints, compared", lambda: endpoint_registrations(tree) == endpoints)
-    timed("links, chosen", lambda: choose_links(endpoints, "e1", SIDECAR_LINKS))
-    timed("view of an entry", lambda: SettingsView(tree))
-    timed("check of a limit", lambda: check_ops(tree, [op]))
-    timed("check of a model", lambda: check_ops(tree, [model]))
-    timed("check of a registration", lambda: check_ops(tree, [register]))
-    timed("snapshot, encode", lambda: split_snapshot(tree))
-    timed("snapshot, decode", lambda: decode_tree(b"".join(first.parts)))
-
-
-def held_by_an_entry(arguments):
-    """Return the bytes of tree, kept changes, view and policy, change by change."""
-    ops = ops_of(arguments.endpoints, arguments.accounts)
-    batches = [ops[n : n + OPS_A_CHANGE] for n in range(0, len(ops), OPS_A_CHANGE)]
+    print_best_time(
+        "compare endpoints", lambda: endpoint_registrations(tree) == endpoints
+    )
+    print_best_time(
+        "choose links", lambda: choose_links(endpoints, "e1", SIDECAR_LINKS)
+    )
+    print_best_time("build an entry's view", lambda: SettingsView(tree))
+    print_best_time("check a limit", lambda: check_ops(tree, [op]))
+    print_best_time("check a model", lambda: check_ops(tree, [model]))
+    print_best_time("check a registration", lambda: check_ops(tree, [register]))
+    print_best_time("encode a snapshot", lambda: split_snapshot(tree))
+    print_best_time("decode a snapshot", lambda: decode_tree(b"".join(snapshot.parts)))
+
+
+def measure_entry_bytes(arguments):
+    """Return the bytes of tree, retained changes, view and policy of an entry.
+
+    The changes are applied one by one, as an entry receives them.
+    """
+    ops = build_ops(arguments.endpoints, arguments.accounts)
+    batches = [ops[n : n + OPS_PER_CHANGE] for n in range(0, len(ops), OPS_PER_CHANGE)]
     changes = [
         encode_change(Change(number, "bench", "bench", "", "bench", batch))
         for number, batch in enumerate(batches, start=1)
@@ -110,18 +118,18 @@
     log, builder = ChangeLog(), PolicySettingsBuilder("region-0", "dc-0")
     planner = Planner(PolicySettings(0, "region-0", "dc-0"))
     for data in changes:
-        log.take([decode_change(data)])
+        log.apply_changes([decode_change(data)])
         view = SettingsView(log.tree)
         planner.settings_changed(0.0, builder.build(view))
-    held = tracemalloc.get_traced_memory()[0]
+    traced = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return held
+    return traced
 
 
-def fresh(arguments):
+def build_change_log(arguments):
     log = ChangeLog()
-    ops = ops_of(arguments.endpoints, arguments.accounts)
-    log.take([Change(1, "first", "bench", "", "bench", ops)])
+    ops = build_ops(arguments.endpoints, arguments.accounts)
+    log.apply_changes([Change(1, "first", "bench", "", "bench", ops)])
     return log
 
 
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -1,11 +1,11 @@
-"""What a streamed token costs, and how late it reaches the caller.
+"""Measures the processor time per streamed token, and when callers receive tokens.
 
     .venv/bin/python -m bench.streams [--streams N] [--requests N] [--tokens N ...]
 
-Callers stream the four-stage pipeline through one entry; the engines give a token
-each ``--token-time`` seconds. Prints processor time a token at the entry and at the
-engines' sidecars, from the slope over the numbers of tokens, and the times of tokens
-as the callers see them.
+Callers stream the four-stage pipeline through one entry; an engine emits one token
+every ``--token-time`` seconds. Prints the time to the first token and between tokens
+as callers see them, and the processor time per token at the entry and at the engines'
+sidecars. The latter is the slope between runs with different numbers of tokens.
 """
 
 import argparse
@@ -23,15 +23,15 @@
 from bench.process_cost import cpu_seconds
 
 MS = 1000.0
-MICROS = 1e6
+MICROS_PER_S = 1e6
 DEADLINE_MS = 60_000
-WARM_REQUESTS = 40
+WARM_UP_REQUESTS = 40
 ENGINE_POOL = "assessment"
 
 
 @dataclass(slots=True)
 class Times:
-    """Times seen by callers, in seconds."""
+    """Seconds to the first token and between tokens, as callers see them."""
 
     first: list[float] = field(default_factory=list)
     between: list[float] = field(default_factory=list)
@@ -39,8 +39,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """Processor seconds."""
+class CpuTime:
+    """Processor seconds of the entry and of the engines' sidecars."""
 
     entry: float
     sidecars: float
@@ -48,21 +48,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run at one number of tokens a request."""
+    """The processor time of one run with ``tokens`` tokens per request."""
 
     tokens: int
     requests: int
-    spent: Spent
+    cpu: CpuTime
 
 
 async def main() -> None:
     arguments = parse_arguments()
     plan = fast_plan(load_plan(PLAN), 4)
-    wide = {"concurrency": 2000, "queue_capacity": 4000}
+    sidecar_overrides = {"concurrency": 2000, "queue_capacity": 4000}
     async with open_deployment(
-        plan, servers=arguments.servers, sidecar_overrides=wide
+        plan, servers=arguments.servers, sidecar_overrides=sidecar_overrides
     ) as deployment:
-        await stream_all(deployment, WARM_REQUESTS, arguments.streams, 1.0)
+        await stream_all(deployment, WARM_UP_REQUESTS, arguments.streams, 1.0)
         runs = []
         for tokens in arguments.tokens:
             for pair in deployment.pool(ENGINE_POOL):
@@ -75,7 +75,7 @@
 
 def parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--streams", type=int, default=60, help="at a time")
+    parser.add_argument("--streams", type=int, default=60, help="concurrent streams")
     parser.add_argument("--requests", type=int, default=240)
     parser.add_argument("--tokens", type=int, nargs="+", default=[4, 36, 150])
     parser.add_argument("--token-time", type=float, default=0.034)
@@ -86,21 +86,21 @@
 async def measure(
     deployment: Deployment, arguments: argparse.Namespace, tokens: int
 ) -> Run:
-    before = spent(deployment)
+    before = read_cpu_time(deployment)
     start = time.perf_counter()
     stream_s = tokens * arguments.token_time
     times = await stream_all(
         deployment, arguments.requests, arguments.streams, stream_s
     )
     elapsed = time.perf_counter() - start
-    after = spent(deployment)
+    after = read_cpu_time(deployment)
     assert times.tokens == tokens * arguments.requests, times.tokens
     print(
         f"{tokens:4} tokens   {times.tokens / elapsed:6.0f} tokens/s   "
         f"first p50 {p50(times.first):6.1f} p95 {p95(times.first):6.1f} ms   "
         f"between p50 {p50(times.between):5.1f} p95 {p95(times.between):5.1f} ms"
     )
-    cost = Spent(after.entry - before.entry, after.sidecars - before.sidecars)
+    cost = CpuTime(after.entry - before.entry, after.sidecars - before.sidecars)
     return Run(tokens, arguments.requests, cost)
 
 
@@ -112,9 +112,9 @@
     return quantiles(times, n=20)[18] * MS
 
 
-def spent(deployment: Deployment) -> Spent:
+def read_cpu_time(deployment: Deployment) -> CpuTime:
     sidecars = [pair.sidecar for pair in deployment.pool(ENGINE_POOL)]
-    return Spent(
+    return CpuTime(
         cpu_seconds(deployment.entries[0].pid),
         sum(cpu_seconds(sidecar.pid) for sidecar in sidecars),
     )
@@ -123,8 +123,8 @@
 def report_slopes(runs: list[Run]) -> None:
     for low, high in pairwise(runs):
         tokens = (high.tokens - low.tokens) * high.requests
-        entry = (high.spent.entry - low.spent.entry) / tokens * MICROS
-        sidecar = (high.spent.sidecars - low.spent.sidecars) / tokens * MICROS
+        entry = (high.cpu.entry - low.cpu.entry) / tokens * MICROS_PER_S
+        sidecar = (high.cpu.sidecars - low.cpu.sidecars) / tokens * MICROS_PER_S
         print(
             f"{low.tokens:4} to {high.tokens:3} tokens   "
             f"entry {entry:5.1f} us a token   sidecar {sidecar:5.1f} us a token"
@@ -138,17 +138,17 @@
     deployment: Deployment, requests: int, streams: int, stream_s: float
 ) -> Times:
     """
-    Send requests, ``streams`` at a time, and check that each ends whole.
+    Send requests, ``streams`` at a time, and check that each stream is complete.
 
-    Callers begin one after the other within ``stream_s`` seconds, a stream's length.
+    The callers' starts are spread over ``stream_s`` seconds, the length of a stream.
     """
-    left = iter(range(requests))
+    numbers = iter(range(requests))
     times = Times()
 
-    async def caller(session: aiohttp.ClientSession, place: int) -> None:
-        # All at once would measure how the entry gets over the first burst.
-        await asyncio.sleep(place / streams * stream_s)
-        for number in left:
+    async def caller(session: aiohttp.ClientSession, index: int) -> None:
+        # Starting all callers at once would measure the entry under a burst instead.
+        await asyncio.sleep(index / streams * stream_s)
+        for number in numbers:
             await stream_one(session, deployment, number, times)
 
     connector = aiohttp.TCPConnector(limit=0)
@@ -181,11 +181,11 @@
                 times.between.append(now - last)
             else:
                 times.first.append(now - sent)
-            # Tokens that share an event arrive together.
+            # Tokens in the same event arrive together.
             times.between.extend([0.0] * (tokens - 1))
             times.tokens += tokens
             last = now
-    assert ended, "the stream has no end"
+    assert ended, "the stream ended without a done event"
 
 
 if __name__ == "__main__":
--- a/bench/unread_logs.py
+++ b/bench/unread_logs.py
@@ -1,8 +1,9 @@
 """
-What a gateway's callers see while nobody reads its output.
+Latency at a gateway whose standard output is not read, so that its pipe fills up.
 
-Run ``.venv/bin/python -m bench.unread_logs [--seconds 60]``. One gateway before one
-endpoint on loopback, eight callers; first with a reader, then without one.
+Run ``.venv/bin/python -m bench.unread_logs [--seconds 60]``. Eight callers use one
+gateway with one endpoint on loopback, first while the output is read, then while it
+is not.
 """
 
 import argparse
@@ -19,49 +20,49 @@
 CALLERS = 8
 
 
-async def _load(gateway: Gateway, seconds: float) -> list[float]:
-    """Call for so long; return how long each answer took, in ms."""
+async def _send_requests(gateway: Gateway, seconds: float) -> list[float]:
+    """Call for ``seconds``; return the sorted response times, in milliseconds."""
     end = time.monotonic() + seconds
 
-    async def work() -> list[float]:
-        took = []
-        while (begun := time.monotonic()) < end:
+    async def caller() -> list[float]:
+        times_ms = []
+        while (start := time.monotonic()) < end:
             status, _, _ = await gateway.call("/read/")
             assert status == 200
-            took.append((time.monotonic() - begun) * 1000)
-        return took
+            times_ms.append((time.monotonic() - start) * 1000)
+        return times_ms
 
-    found = await asyncio.gather(*(work() for _ in range(CALLERS)))
-    return sorted(ms for each in found for ms in each)
+    by_caller = await asyncio.gather(*(caller() for _ in range(CALLERS)))
+    return sorted(ms for times in by_caller for ms in times)
 
 
 async def _measure(name: str, gateway: Gateway, seconds: float) -> None:
     pid = gateway.process.pid
     cpu = cpu_seconds(pid)
-    took = await _load(gateway, seconds)
-    cost_us = (cpu_seconds(pid) - cpu) / len(took) * 1e6
+    times_ms = await _send_requests(gateway, seconds)
+    cost_us = (cpu_seconds(pid) - cpu) / len(times_ms) * 1e6
     sys.stdout.write(
-        f"{name:12} requests {len(took)} p50 {took[len(took) // 2]:.2f} ms "
-        f"p99 {took[int(len(took) * 0.99)]:.2f} ms worst {took[-1]:.1f} ms "
+        f"{name:12} requests {len(times_ms)} p50 {times_ms[len(times_ms) // 2]:.2f} ms "
+        f"p99 {times_ms[int(len(times_ms) * 0.99)]:.2f} ms worst {times_ms[-1]:.1f} ms "
         f"processor {cost_us:.0f} us a request, memory {memory_mb(pid):.1f} MB\n"
     )
 
 
 async def _run(seconds: float) -> None:
     with tempfile.TemporaryDirectory() as folder:
-        async with open_gateway_cluster(Path(folder)) as world:
-            await world.endpoint(
+        async with open_gateway_cluster(Path(folder)) as cluster:
+            await cluster.endpoint(
                 "e", "read", lambda request: [complete_response(request, b"work")]
             )
-            world.configure(1, route("read"))
-            gateway = await world.gateway()
+            cluster.configure(1, route("read"))
+            gateway = await cluster.gateway()
             await _measure("read", gateway, seconds / 2)
             gateway.process.stop_reading()
             await _measure("unread", gateway, seconds)
 
 
 def main() -> int:
-    """Print what was measured; return the exit code."""
+    """Run the measurement; return the exit code."""
     parser = argparse.ArgumentParser(prog="unread_logs", description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     asyncio.run(_run(parser.parse_args().seconds))
