--- a/packages/operator/src/amaranthtally/operator/replay/endpoints.py
+++ b/packages/operator/src/amaranthtally/operator/replay/endpoints.py
@@ -1,8 +1,8 @@
 """
-Fakes of endpoints on the virtual clock, in a registry that decorators fill.
+Fake endpoints on the virtual clock, registered by a decorator for each kind.
 
-An engine's running calls all advance at one rate, which falls as the batch grows;
-any other endpoint gives each slot the same speed.
+The running calls of an engine all advance at the same rate, which falls as the batch
+grows. At any other endpoint each call runs at a constant speed.
 """
 
 import heapq
@@ -18,31 +18,32 @@
 __all__ = ["CHUNK_TOKENS", "FakeEndpoint", "Run", "build_endpoint"]
 
 CHUNK_TOKENS = 32
-FAILS_AFTER_S = 0.005
+FAILURE_DELAY_S = 0.005
 
-Done = Callable[[bool], None]
-Progress = Callable[[int], None]
+OnDone = Callable[[bool], None]
+OnProgress = Callable[[int], None]
 
 
 @dataclass(slots=True, eq=False)
 class Run:
     """
-    A call at an endpoint. ``seconds`` is its work alone on the endpoint.
+    A call at an endpoint; ``seconds`` is its run time alone on the endpoint.
 
-    ``done`` is told whether it finished; ``progress`` the chunks sent so far.
+    ``done`` is called when the call ends, with true if it finished and false if it
+    failed. ``progress`` is called with the number of chunks sent so far.
     """
 
     seconds: float
     tokens: int
     prefix: tuple[int, ...]
     resume_chunks: int
-    done: Done
-    progress: Progress
+    done: OnDone
+    progress: OnProgress
     ended: bool = field(default=False, init=False)
 
 
 class FakeEndpoint:
-    """What every fake endpoint shares: faults and the end of a call."""
+    """Base class of the fake endpoints: injected faults and the end of a call."""
 
     def __init__(self, clock: VirtualClock, pool: PoolPlan) -> None:
         self._clock = clock
@@ -53,36 +54,41 @@
         self._on_cache_event: Callable[[CacheEvent], None] | None = None
 
     def on_cache_event(self, callback: Callable[[CacheEvent], None]) -> None:
-        """Tell ``callback`` of changes of the prefix cache, if there is one."""
+        """Set the callback for changes of the prefix cache; only engines have one."""
         self._on_cache_event = callback
 
     def slow_down(self, factor: float) -> None:
-        """Take ``factor`` times as long for each call from now on."""
+        """Make each call that starts from now on take ``factor`` times as long."""
         self._slowdown = factor
 
     def fail(self, failing: bool) -> None:
-        """Fail every call soon after its start, and those that run, or stop so."""
+        """
+        Start or stop failing calls.
+
+        While failing, each new call fails soon after its start. The calls that are
+        running when failing starts fail at once.
+        """
         self._failing = failing
         for run in list(self._running) if failing else ():
             self._end(run, False)
 
     def clear_cache(self) -> None:
-        """Forget cached prefixes; only an engine has any."""
+        """Remove all cached prefixes; only engines have any."""
 
     def start(self, run: Run) -> None:
         """Start a call."""
         self._running[run] = None
         if self._failing:
-            self._clock.after(FAILS_AFTER_S, partial(self._end, run, False))
+            self._clock.after(FAILURE_DELAY_S, partial(self._end, run, False))
             return
-        self._begin(run)
+        self._run(run)
 
     def cancel(self, run: Run) -> None:
-        """Stop a call at once without an answer."""
+        """Stop a call at once, without calling ``done``."""
         run.ended = True
         self._running.pop(run, None)
 
-    def _begin(self, run: Run) -> None:
+    def _run(self, run: Run) -> None:
         raise NotImplementedError
 
     def _end(self, run: Run, finished: bool) -> None:
@@ -106,27 +112,27 @@
 
 
 def build_endpoint(clock: VirtualClock, pool: PoolPlan) -> FakeEndpoint:
-    """Return a fake of the pool's kind; raises ``KeyError`` for an unknown one."""
+    """Return a fake of the pool's kind; raises ``KeyError`` if it is unknown."""
     return _KINDS[pool.kind](clock, pool)
 
 
 @_endpoint_kind("encoder", "retriever", "reranker", "plain")
 class FakeServer(FakeEndpoint):
-    """Runs each call at its own constant speed."""
+    """Runs each call at a constant speed, whatever else runs."""
 
-    def _begin(self, run: Run) -> None:
+    def _run(self, run: Run) -> None:
         self._clock.after(run.seconds * self._slowdown, partial(self._end, run, True))
 
 
 class _PrefixCache:
-    """Prefix blocks in bounded memory, the least recently used removed first."""
+    """LRU cache of prefix blocks."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
         self._blocks: OrderedDict[int, None] = OrderedDict()
 
     def use(self, prefix: tuple[int, ...]) -> "_CacheUse":
-        """Cache every block of a prefix."""
+        """Cache every block of a prefix; return the hits and the changed blocks."""
         missed = [block for block in prefix if block not in self._blocks]
         hits = prefix.index(missed[0]) if missed else len(prefix)
         for block in reversed(prefix):
@@ -138,7 +144,7 @@
         return _CacheUse(hits, tuple(missed), tuple(removed))
 
     def clear(self) -> tuple[int, ...]:
-        """Forget every block and return them."""
+        """Remove every block and return them."""
         blocks = tuple(self._blocks)
         self._blocks.clear()
         return blocks
@@ -154,106 +160,115 @@
 @_endpoint_kind("engine")
 class FakeEngine(FakeEndpoint):
     """
-    Batches continuously: each running call advances one token a step.
+    Continuous batching: each running call advances by one token per decode step.
 
-    ``_steps`` counts decode steps as real numbers, so that a change of batch size
-    moves one next event only. Prefill is charged as steps of the same call.
+    ``_decode_steps`` counts decode steps as a real number. Chunk events are scheduled
+    in steps, so a change of the batch size reschedules only the next event. The time
+    of a call's prefill is converted to additional steps of that call.
     """
 
     def __init__(self, clock: VirtualClock, pool: PoolPlan) -> None:
         super().__init__(clock, pool)
         self._cache = _PrefixCache(pool.cache_blocks)
-        self._waiting: deque[Run] = deque()
-        self._marks: list[tuple[float, int, Run, int]] = []
+        self._queued: deque[Run] = deque()
+        # A heap of (decode step, serial, run, chunk).
+        self._chunk_events: list[tuple[float, int, Run, int]] = []
         self._batch: dict[Run, None] = {}
-        self._steps = 0.0
-        self._counted_at = 0.0
+        self._decode_steps = 0.0
+        self._steps_updated_at = 0.0
         self._serial = 0
-        self._schedule = 0
-        self._events = 0
+        self._schedule_version = 0
+        self._cache_event_count = 0
 
     def slow_down(self, factor: float) -> None:
-        """Take ``factor`` times as long for each step from now on."""
-        self._count_steps()
+        """Make each decode step take ``factor`` times as long from now on."""
+        self._update_steps()
         super().slow_down(factor)
-        self._plan_next()
+        self._schedule_next_event()
 
     def clear_cache(self) -> None:
-        """Forget cached prefixes."""
+        """Remove all cached prefixes and publish their removal."""
         self._publish((), self._cache.clear())
 
     def cancel(self, run: Run) -> None:
-        """Take a call out of the batch."""
-        self._count_steps()
+        """Remove a call from the batch."""
+        self._update_steps()
         super().cancel(run)
         self._batch.pop(run, None)
         self._fill_batch()
 
-    def _begin(self, run: Run) -> None:
-        self._count_steps()
-        self._waiting.append(run)
+    def _run(self, run: Run) -> None:
+        self._update_steps()
+        self._queued.append(run)
         self._fill_batch()
 
     def _fill_batch(self) -> None:
-        while self._waiting and len(self._batch) < self._pool.slots:
-            run = self._waiting.popleft()
+        while self._queued and len(self._batch) < self._pool.slots:
+            run = self._queued.popleft()
             if not run.ended:
                 self._batch[run] = None
-                self._mark_steps(run)
-        self._plan_next()
+                self._schedule_chunks(run)
+        self._schedule_next_event()
 
-    def _mark_steps(self, run: Run) -> None:
-        use = self._cache.use(run.prefix)
-        self._publish(use.stored, use.removed)
-        missed = len(run.prefix) - use.hits
+    def _schedule_chunks(self, run: Run) -> None:
+        cache_use = self._cache.use(run.prefix)
+        self._publish(cache_use.stored, cache_use.removed)
+        missed = len(run.prefix) - cache_use.hits
         prefill_s = missed * self._pool.block_tokens * self._pool.prefill_token_s
-        first = self._steps + prefill_s / self._pool.token_s
-        slower = run.seconds / (run.tokens * self._pool.token_s)
-        done_before = min(run.resume_chunks * CHUNK_TOKENS, run.tokens - 1)
-        chunk = done_before // CHUNK_TOKENS
+        prefilled_at = self._decode_steps + prefill_s / self._pool.token_s
+        steps_per_token = run.seconds / (run.tokens * self._pool.token_s)
+        resumed_tokens = min(run.resume_chunks * CHUNK_TOKENS, run.tokens - 1)
+        chunk = resumed_tokens // CHUNK_TOKENS
         while chunk * CHUNK_TOKENS < run.tokens:
             chunk += 1
-            tokens = min(chunk * CHUNK_TOKENS, run.tokens) - done_before
+            tokens = min(chunk * CHUNK_TOKENS, run.tokens) - resumed_tokens
             self._serial += 1
-            mark = (first + tokens * slower, self._serial, run, chunk)
-            heapq.heappush(self._marks, mark)
+            chunk_event = (
+                prefilled_at + tokens * steps_per_token,
+                self._serial,
+                run,
+                chunk,
+            )
+            heapq.heappush(self._chunk_events, chunk_event)
 
     def _publish(self, stored: tuple[int, ...], removed: tuple[int, ...]) -> None:
         if self._on_cache_event is None or not (stored or removed):
             return
-        self._events += 1
-        if self._pool.event_gap and self._events % self._pool.event_gap == 0:
+        self._cache_event_count += 1
+        if self._pool.event_gap and self._cache_event_count % self._pool.event_gap == 0:
             return
-        event = CacheEvent(self._events, stored, removed)
-        tell = partial(self._on_cache_event, event)
-        self._clock.after(self._pool.event_lag_s, tell)
+        event = CacheEvent(self._cache_event_count, stored, removed)
+        publish = partial(self._on_cache_event, event)
+        self._clock.after(self._pool.event_lag_s, publish)
 
     def _step_s(self) -> float:
         neighbours = max(0, len(self._batch) - 1)
         slope = 1.0 + self._pool.batch_slope * neighbours
         return self._pool.token_s * slope * self._slowdown
 
-    def _count_steps(self) -> None:
+    def _update_steps(self) -> None:
         now = self._clock.now
         if self._batch:
-            self._steps += (now - self._counted_at) / self._step_s()
-        self._counted_at = now
-
-    def _plan_next(self) -> None:
-        while self._marks and self._marks[0][2].ended:
-            heapq.heappop(self._marks)
-        self._schedule += 1
-        if self._marks:
-            delay_s = (self._marks[0][0] - self._steps) * self._step_s()
-            self._clock.after(max(0.0, delay_s), partial(self._step, self._schedule))
-
-    def _step(self, schedule: int) -> None:
-        if schedule != self._schedule:
+            self._decode_steps += (now - self._steps_updated_at) / self._step_s()
+        self._steps_updated_at = now
+
+    def _schedule_next_event(self) -> None:
+        while self._chunk_events and self._chunk_events[0][2].ended:
+            heapq.heappop(self._chunk_events)
+        self._schedule_version += 1
+        if self._chunk_events:
+            delay_s = (self._chunk_events[0][0] - self._decode_steps) * self._step_s()
+            self._clock.after(
+                max(0.0, delay_s), partial(self._run_next_event, self._schedule_version)
+            )
+
+    def _run_next_event(self, schedule_version: int) -> None:
+        if schedule_version != self._schedule_version:
             return
-        self._count_steps()
-        _, _, run, chunk = heapq.heappop(self._marks)
+        self._update_steps()
+        _, _, run, chunk = heapq.heappop(self._chunk_events)
         if chunk * CHUNK_TOKENS < run.tokens:
             run.progress(chunk)
-            self._plan_next()
+            self._schedule_next_event()
         else:
             self._end(run, True)
