--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,4 +1,4 @@
-"""Compares the cost of the ways to key an at-most-once call, in one run.
+"""Compares at-most-once calls by their kind of idempotency key, in one run.
 
     .venv/bin/python -m bench.at_most_once [--requests N] [--platform-ms N]
 
@@ -35,16 +35,16 @@
 MICROS_PER_S = 1_000_000
 LEDGER_CALLS = 10_000
 
-KeyMaker = Callable[[int], Coroutine[Any, Any, str]]
+KeyFactory = Callable[[int], Coroutine[Any, Any, str]]
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A way to send an order; ``key`` returns the idempotency key of the n-th one."""
+class KeyVariant:
+    """A pipeline and a kind of key; ``key`` returns the idempotency key of a call."""
 
     name: str
     pipeline: str
-    key: KeyMaker
+    key: KeyFactory
 
 
 async def main() -> None:
@@ -56,11 +56,11 @@
         await deployment.set_knobs(
             deployment.platform, service=arguments.platform_ms / MS
         )
-        for way in ways(deployment):
-            await measure(deployment, way, arguments.requests)
+        for variant in key_variants(deployment):
+            await measure(deployment, variant, arguments.requests)
         await deployment.set_knobs(deployment.platform, outage=True)
-        for way in ways(deployment, "outage-"):
-            await measure_outage(deployment, way, arguments.requests)
+        for variant in key_variants(deployment, "outage-"):
+            await measure_outage(deployment, variant, arguments.requests)
     measure_memory(LEDGER_CALLS)
 
 
@@ -82,8 +82,8 @@
     return msgspec.structs.replace(plan, pools=pools, settings=settings)
 
 
-def ways(deployment: Deployment, prefix: str = "") -> list[Way]:
-    """Return the ways to compare; ``prefix`` starts every key."""
+def key_variants(deployment: Deployment, prefix: str = "") -> list[KeyVariant]:
+    """Return the variants to compare; their own keys start with ``prefix``."""
 
     async def no_key(number: int) -> str:
         return ""
@@ -98,10 +98,10 @@
         return await issue_token(deployment)
 
     return [
-        Way("repeatable, no key", REPEATABLE_PIPELINE, no_key),
-        Way("token, taken and used", AT_MOST_ONCE_PIPELINE, new_token),
-        Way("own key, new", AT_MOST_ONCE_PIPELINE, new_key),
-        Way("own key, repeated", AT_MOST_ONCE_PIPELINE, repeated_key),
+        KeyVariant("repeatable, no key", REPEATABLE_PIPELINE, no_key),
+        KeyVariant("token, taken and used", AT_MOST_ONCE_PIPELINE, new_token),
+        KeyVariant("own key, new", AT_MOST_ONCE_PIPELINE, new_key),
+        KeyVariant("own key, repeated", AT_MOST_ONCE_PIPELINE, repeated_key),
     ]
 
 
@@ -124,42 +124,48 @@
     return kinds
 
 
-async def measure(deployment: Deployment, way: Way, requests: int) -> None:
+async def measure(deployment: Deployment, variant: KeyVariant, requests: int) -> None:
     before: Counter[str] = Counter()
-    times, token_times = [], []
+    response_ms, token_ms = [], []
     for number in range(requests + WARM_REQUESTS):
         if number == WARM_REQUESTS:
             before = await platform_calls(deployment)
         start = time.perf_counter()
-        key = await way.key(number)
+        key = await variant.key(number)
         sent = time.perf_counter()
-        answer = await deployment.call(way.pipeline, ORDER, entry=number % 2, key=key)
+        answer = await deployment.call(
+            variant.pipeline, ORDER, entry=number % 2, key=key
+        )
         assert answer.status == 200, await answer.text()
-        token_times.append((sent - start) * MS)
-        times.append((time.perf_counter() - sent) * MS)
+        token_ms.append((sent - start) * MS)
+        response_ms.append((time.perf_counter() - sent) * MS)
     calls = await platform_calls(deployment)
     calls.subtract(before)
-    call, issue = times[WARM_REQUESTS:], token_times[WARM_REQUESTS:]
+    call_ms, issue_ms = response_ms[WARM_REQUESTS:], token_ms[WARM_REQUESTS:]
     print(
-        f"{way.name:24} writes {calls['write'] / requests:4.2f}  "
-        f"reads {calls['read'] / requests:4.2f}  call p50 {median(call):6.2f} "
-        f"p99 {quantiles(call, n=100)[98]:6.2f} ms  "
-        f"token p50 {median(issue):5.2f} ms"
+        f"{variant.name:24} writes {calls['write'] / requests:4.2f}  "
+        f"reads {calls['read'] / requests:4.2f}  call p50 {median(call_ms):6.2f} "
+        f"p99 {quantiles(call_ms, n=100)[98]:6.2f} ms  "
+        f"token p50 {median(issue_ms):5.2f} ms"
     )
 
 
-async def measure_outage(deployment: Deployment, way: Way, requests: int) -> None:
+async def measure_outage(
+    deployment: Deployment, variant: KeyVariant, requests: int
+) -> None:
     outcomes: Counter[str] = Counter()
-    times = []
+    response_ms = []
     for number in range(requests):
-        key = await way.key(number)
+        key = await variant.key(number)
         start = time.perf_counter()
-        answer = await deployment.call(way.pipeline, ORDER, entry=number % 2, key=key)
-        times.append((time.perf_counter() - start) * MS)
+        answer = await deployment.call(
+            variant.pipeline, ORDER, entry=number % 2, key=key
+        )
+        response_ms.append((time.perf_counter() - start) * MS)
         outcomes[(await answer.json()).get("outcome", "answered")] += 1
     print(
-        f"outage: {way.name:24} {dict(outcomes)}  p50 {median(times):6.2f} "
-        f"p99 {quantiles(times, n=100)[98]:6.2f} ms"
+        f"outage: {variant.name:24} {dict(outcomes)}  p50 {median(response_ms):6.2f} "
+        f"p99 {quantiles(response_ms, n=100)[98]:6.2f} ms"
     )
 
 
--- a/bench/settings_propagation.py
+++ b/bench/settings_propagation.py
@@ -32,8 +32,8 @@
 
     def __init__(self, deployment, stack):
         self.deployment = deployment
-        self.light = []
-        self.nodes = 0
+        self.light_processes = []
+        self.light_nodes = 0
         self._stack = stack
 
     async def start_light_nodes(self, role, count):
@@ -51,12 +51,12 @@
                 str(nodes),
             )
             self._stack.push_async_callback(process.stop)
-            self.light.append(process)
-            self.nodes += nodes
+            self.light_processes.append(process)
+            self.light_nodes += nodes
 
     async def register_light_endpoints(self):
         firm = {}
-        for process in self.light:
+        for process in self.light_processes:
             for name, port in re.findall(LIGHT_NODE, "\n".join(process.lines)):
                 firm[f"endpoint.{name}"] = {
                     "pool": "light",
@@ -77,7 +77,7 @@
             for at, revision in IN_FORCE.findall("\n".join(process.lines)):
                 when = datetime.fromisoformat(at).timestamp()
                 applied.setdefault(int(revision), {})[process.name] = when
-        for process in self.light:
+        for process in self.light_processes:
             lines = "\n".join(process.lines)
             for node, revision, at in LIGHT_IN_FORCE.findall(lines):
                 applied.setdefault(int(revision), {})[node] = float(at)
@@ -86,7 +86,7 @@
     @property
     def size(self):
         deployment = self.deployment
-        return len(deployment.entries) + len(deployment.endpoints) + self.nodes
+        return len(deployment.entries) + len(deployment.endpoints) + self.light_nodes
 
     async def counts(self):
         url = self.deployment.platform_url + "/_counts"
@@ -100,7 +100,7 @@
         return by_role
 
 
-async def change(fleet, number):
+async def commit_change(fleet, number):
     """Commit a change; return status, revision, and times of sending and response."""
     deployment = fleet.deployment
     body = {
@@ -136,7 +136,7 @@
         await asyncio.sleep(1 / rate)
 
 
-def difference(before, after):
+def count_increases(before, after):
     return {k: after[k] - before.get(k, 0) for k in after if after[k] != before.get(k)}
 
 
@@ -145,7 +145,7 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def describe(name, seconds):
+def print_quantiles(name, seconds):
     ms = [1000 * value for value in seconds]
     print(
         f"{name}: n={len(ms)} p50={statistics.median(ms):.0f} ms "
@@ -157,7 +157,7 @@
     before = await fleet.counts()
     committed = []
     for number in range(count):
-        status, revision, sent, acknowledged = await change(fleet, number)
+        status, revision, sent, acknowledged = await commit_change(fleet, number)
         if status == 200:
             committed.append((revision, sent, acknowledged))
         else:
@@ -173,12 +173,13 @@
         lags += [max(0.0, at - acknowledged) for at in times.values()]
         last.append(max(0.0, max(times.values()) - acknowledged))
         commit_times.append(acknowledged - sent)
-    describe("sent to acknowledged", commit_times)
-    describe("acknowledged to in force, each process", lags)
-    describe("acknowledged to in force, last process", last)
+    print_quantiles("sent to acknowledged", commit_times)
+    print_quantiles("acknowledged to in force, each process", lags)
+    print_quantiles("acknowledged to in force, last process", last)
     print(f"processes that skipped a revision on the way: {missing}")
     calls = {
-        k: round(v / len(committed), 2) for k, v in difference(before, after).items()
+        k: round(v / len(committed), 2)
+        for k, v in count_increases(before, after).items()
     }
     print(f"platform calls per change, all processes together: {calls}")
 
@@ -190,13 +191,13 @@
 
 async def measure_idle(fleet, seconds):
     before = await fleet.counts()
-    cpu_s = sum(map(processor_seconds, fleet.light))
+    cpu_s = sum(map(processor_seconds, fleet.light_processes))
     await asyncio.sleep(seconds)
-    if fleet.light:
-        cpu_s = sum(map(processor_seconds, fleet.light)) - cpu_s
-        share = 100 * cpu_s / seconds / fleet.nodes
+    if fleet.light_processes:
+        cpu_s = sum(map(processor_seconds, fleet.light_processes)) - cpu_s
+        share = 100 * cpu_s / seconds / fleet.light_nodes
         print(f"processor time of a light node, idle: {share:.2f}% of a core")
-    calls = difference(before, await fleet.counts())
+    calls = count_increases(before, await fleet.counts())
     print(f"platform calls in {seconds:.0f} s idle, all processes together: {calls}")
 
 
@@ -216,10 +217,10 @@
 
 async def measure_restarts(fleet, count, label):
     times = [await restart(fleet, 0) for _ in range(count)]
-    describe(
+    print_quantiles(
         f"entry, start to listening, {label}", [listening for listening, _ in times]
     )
-    describe(f"entry, start to ready, {label}", [ready for _, ready in times])
+    print_quantiles(f"entry, start to ready, {label}", [ready for _, ready in times])
 
 
 async def measure(arguments):
--- a/bench/streams.py
+++ b/bench/streams.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Times:
+class TokenTimes:
     """Seconds to the first token and between tokens, as callers see them."""
 
     first: list[float] = field(default_factory=list)
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
+class RunResult:
     """The processor time of one run with ``tokens`` tokens per request."""
 
     tokens: int
@@ -85,7 +85,7 @@
 
 async def measure(
     deployment: Deployment, arguments: argparse.Namespace, tokens: int
-) -> Run:
+) -> RunResult:
     before = read_cpu_time(deployment)
     start = time.perf_counter()
     stream_s = tokens * arguments.token_time
@@ -101,7 +101,7 @@
         f"between p50 {p50(times.between):5.1f} p95 {p95(times.between):5.1f} ms"
     )
     cost = CpuTime(after.entry - before.entry, after.sidecars - before.sidecars)
-    return Run(tokens, arguments.requests, cost)
+    return RunResult(tokens, arguments.requests, cost)
 
 
 def p50(times: list[float]) -> float:
@@ -120,7 +120,7 @@
     )
 
 
-def report_slopes(runs: list[Run]) -> None:
+def report_slopes(runs: list[RunResult]) -> None:
     for low, high in pairwise(runs):
         tokens = (high.tokens - low.tokens) * high.requests
         entry = (high.cpu.entry - low.cpu.entry) / tokens * MICROS_PER_S
@@ -136,14 +136,14 @@
 
 async def stream_all(
     deployment: Deployment, requests: int, streams: int, stream_s: float
-) -> Times:
+) -> TokenTimes:
     """
     Send requests, ``streams`` at a time, and check that each stream is complete.
 
     The callers' starts are spread over ``stream_s`` seconds, the length of a stream.
     """
     numbers = iter(range(requests))
-    times = Times()
+    times = TokenTimes()
 
     async def caller(session: aiohttp.ClientSession, index: int) -> None:
         # Starting all callers at once would measure the entry under a burst instead.
@@ -158,7 +158,10 @@
 
 
 async def stream_one(
-    session: aiohttp.ClientSession, deployment: Deployment, number: int, times: Times
+    session: aiohttp.ClientSession,
+    deployment: Deployment,
+    number: int,
+    times: TokenTimes,
 ) -> None:
     url = f"{deployment.entry_url()}/v1/pipelines/{PIPELINE}/requests"
     headers = {"Authorization": f"Bearer {deployment.plan.accounts[0].key}"}
--- a/packages/operator/src/amaranthtally/operator/explain.py
+++ b/packages/operator/src/amaranthtally/operator/explain.py
@@ -12,7 +12,7 @@
 
 __all__ = ["RequestTimeline", "add_explain_command", "read_timeline"]
 
-# Fields left out of a line's details: its columns show them, or the search fixes them.
+# Left out of a line's details: shown in its other columns, or of no use there.
 OMITTED_FIELDS = frozenset({"timestamp", "level", "event", "request_id", "requests"})
 
 
--- a/packages/operator/src/amaranthtally/operator/stage_report.py
+++ b/packages/operator/src/amaranthtally/operator/stage_report.py
@@ -76,6 +76,8 @@
 
 @dataclass(slots=True)
 class _Request:
+    """Times in seconds since the first line; 0 for an event not seen."""
+
     route: str = ""
     received: float = 0.0
     sent: float = 0.0
@@ -154,6 +156,7 @@
 
 def _summarize(report: StageReport, request: _Request) -> None:
     for call in request.calls:
+        # A call's time is divided equally among the requests it served.
         share_s = (call.end - call.begin) / len(call.requests)
         total_s = report.spent_s.get(request.outcome, 0.0)
         report.spent_s[request.outcome] = total_s + share_s
@@ -165,8 +168,10 @@
         summary.staged_s.append(request.sent - request.received)
     if request.ended and not request.sent:
         summary.refused_s.append(request.ended - request.received)
-    ready = request.received
+    ready_at = request.received
     for call in sorted(request.calls, key=lambda call: call.begin):
-        summary.waits_s.setdefault(call.pool, []).append(max(0.0, call.begin - ready))
+        summary.waits_s.setdefault(call.pool, []).append(
+            max(0.0, call.begin - ready_at)
+        )
         summary.calls_s.setdefault(call.pool, []).append(call.end - call.begin)
-        ready = max(ready, call.end)
+        ready_at = max(ready_at, call.end)
