--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -83,7 +83,7 @@
 
 
 def key_variants(deployment: Deployment, prefix: str = "") -> list[KeyVariant]:
-    """Return the variants to compare; their own keys start with ``prefix``."""
+    """Return the variants to compare; keys chosen by callers start with ``prefix``."""
 
     async def no_key(number: int) -> str:
         return ""
--- a/bench/path.py
+++ b/bench/path.py
@@ -192,7 +192,7 @@
     after = memory_mb(entry.pid), memory_mb(sidecar.pid)
     active = sum(not call.done() for call in calls)
     share = active / len(encoders)
-    print(f"held          {active} requests in flight")
+    print(f"in flight     {active} requests")
     print(
         f"              entry +{(after[0] - before[0]) / active * 1000:6.1f} MB/1,000"
     )
--- a/bench/settings_propagation.py
+++ b/bench/settings_propagation.py
@@ -235,7 +235,7 @@
         await fleet.register_light_endpoints()
         await asyncio.sleep(SETTLE_S)
         print(
-            f"whole entries {arguments.entries}, whole sidecars "
+            f"complete entries {arguments.entries}, complete sidecars "
             f"{len(deployment.endpoints)}, light entries {arguments.light_entries}, "
             f"light sidecars {arguments.light_sidecars}, "
             f"load {arguments.load}/s, platform slow {arguments.slow} s"
