--- a/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_commands.py
@@ -18,8 +18,8 @@
 )
 from amaranthtally.operator.experiment.day_tables import (
     plot_differences,
-    render_broken_promises,
     render_comparisons,
+    render_violations,
 )
 from amaranthtally.operator.experiment.trial_log import DayTrial, TrialLog
 from amaranthtally.operator.experiment.workers import interruptible
@@ -37,12 +37,12 @@
 
 __all__ = ["add_day_commands"]
 
-EXIT_BROKEN_PROMISE = 1
+EXIT_VIOLATION = 1
 EXIT_BAD_INPUT = 2
 EXIT_INTERRUPTED = 130
 MAIN_FIGURE = "worth"
 TRIAL_LOG_NAME = "days.jsonl"
-# A search uses short days, because broken promises show soon after a fault.
+# A search uses short days, because violations show soon after a fault.
 SEARCH_S = 16.0
 DAY_S = 24.0
 
@@ -85,8 +85,8 @@
     Simulate variants of the policy on the same days and compare them in pairs.
 
     Days that the output directory already has are not simulated again, so the same
-    command continues after Ctrl-C. Exits with 1 if the policy broke a promise, 2 if a
-    file or a variant cannot be used, and 130 after Ctrl-C.
+    command continues after Ctrl-C. Exits with 1 if the policy violated an invariant, 2
+    if a file or a variant cannot be used, and 130 after Ctrl-C.
 
     Parameters
     ----------
@@ -118,17 +118,17 @@
     with interruptible():
         days, was_interrupted = _simulate_missing_days(requested_jobs, out, jobs)
     _write(out, days)
-    sys.stdout.write(render_broken_promises(days))
+    sys.stdout.write(render_violations(days))
     if was_interrupted:
         return EXIT_INTERRUPTED
-    return EXIT_BROKEN_PROMISE if _policy_broke_promise(days) else 0
+    return EXIT_VIOLATION if _policy_has_violations(days) else 0
 
 
 def search(*, days: Count = 50, first: int = 1, jobs: Count = 2) -> int:
     """
-    Simulate the policy on short, randomly drawn days and report broken promises.
+    Simulate the policy on short, randomly drawn days and report violated invariants.
 
-    Exits with 1 if a promise was broken.
+    Exits with 1 if an invariant was violated.
 
     Parameters
     ----------
@@ -146,10 +146,10 @@
     with interruptible(), closing(simulate_days(requested_jobs, jobs)) as simulation:
         for simulated in track(simulation, total=len(requested_jobs), console=console):
             finished[simulated.trial] = simulated.day
-    sys.stdout.write(render_broken_promises(finished))
+    sys.stdout.write(render_violations(finished))
     broken = sum(bool(day.broken) for day in finished.values())
-    sys.stdout.write(f"{len(finished)} days, {broken} broke a promise\n")
-    return EXIT_BROKEN_PROMISE if broken else 0
+    sys.stdout.write(f"{len(finished)} days, {broken} violated an invariant\n")
+    return EXIT_VIOLATION if broken else 0
 
 
 def _deployments(
@@ -211,7 +211,7 @@
         plot_differences(comparisons, MAIN_FIGURE, out / "differences.svg")
 
 
-def _policy_broke_promise(days: dict[DayTrial, DayResult]) -> bool:
+def _policy_has_violations(days: dict[DayTrial, DayResult]) -> bool:
     return any(
         day.broken for trial, day in days.items() if trial.variant == POLICY.name
     )
--- a/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_tables.py
@@ -9,7 +9,7 @@
 from amaranthtally.operator.experiment.trial_log import DayTrial
 from amaranthtally.simulator.days import DayResult
 
-__all__ = ["plot_differences", "render_broken_promises", "render_comparisons"]
+__all__ = ["plot_differences", "render_violations", "render_comparisons"]
 
 HEIGHT_PER_VARIANT_IN = 0.28
 WIDTH_IN = 8.0
@@ -33,12 +33,12 @@
     return "\n".join(lines) + "\n"
 
 
-def render_broken_promises(days: Mapping[DayTrial, DayResult]) -> str:
-    """Return one line for each broken promise."""
+def render_violations(days: Mapping[DayTrial, DayResult]) -> str:
+    """Return one line for each violation of an invariant."""
     lines = [
-        f"{trial.deployment} seed {trial.seed} {trial.variant}: {promise}"
+        f"{trial.deployment} seed {trial.seed} {trial.variant}: {violation}"
         for trial, day in days.items()
-        for promise in day.broken
+        for violation in day.broken
     ]
     return "\n".join(lines) + "\n" if lines else ""
 
--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -161,7 +161,7 @@
 
 def test_a_search_reports_what_it_played(capsys):
     assert command("experiment", "search", "--days", 1, "--first", 14) == 0
-    assert "1 days, 0 broke a promise" in capsys.readouterr().out
+    assert "1 days, 0 violated an invariant" in capsys.readouterr().out
 
 
 def test_a_broken_promise_ends_a_search_with_1(monkeypatch, capsys):
