--- a/packages/daemon/src/amaranthtally/daemon/__init__.py
+++ b/packages/daemon/src/amaranthtally/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon's two roles, entry and sidecar; decisions live in ``policy``."""
+"""The daemon in its roles as entry and sidecar; ``policy`` makes the decisions."""
--- a/packages/daemon/src/amaranthtally/daemon/lifecycle.py
+++ b/packages/daemon/src/amaranthtally/daemon/lifecycle.py
@@ -1,4 +1,4 @@
-"""Start and stop of a process: signals, listening addresses."""
+"""Process start and stop: signal handling, background tasks and HTTP servers."""
 
 import asyncio
 import signal
@@ -29,33 +29,34 @@
 
 
 class StopSignal:
-    """A first signal asks for a graceful stop, a second one for a stop at once."""
+    """The first signal requests a graceful stop, the second an immediate one."""
 
     def __init__(self) -> None:
-        self._asked = asyncio.Event()
+        self._requested = asyncio.Event()
         self._forced = asyncio.Event()
 
     def is_set(self) -> bool:
-        """Whether a stop was asked for."""
-        return self._asked.is_set()
+        """Whether a stop has been requested."""
+        return self._requested.is_set()
 
     def receive(self) -> None:
-        """Take a signal."""
-        if self._asked.is_set():
+        """Handle one stop signal."""
+        if self._requested.is_set():
             self._forced.set()
-        self._asked.set()
+        self._requested.set()
 
     async def wait(self) -> None:
-        """Return once a stop is asked for."""
-        await self._asked.wait()
+        """Wait until a stop is requested."""
+        await self._requested.wait()
 
     async def run_until_forced(
         self, work: Coroutine[Any, Any, None], limit_s: float
     ) -> bool:
         """
-        Run ``work`` to its end; false when a second signal or the limit ended it.
+        Run ``work`` until it ends, a second signal arrives or ``limit_s`` has passed.
 
-        The limit keeps a process from lasting for ever by one call that hangs.
+        Return whether ``work`` ended by itself; otherwise it is cancelled. Without the
+        limit, one call that hangs would keep the process from ever stopping.
         """
         tasks = [asyncio.create_task(work), asyncio.create_task(self._forced.wait())]
         await asyncio.wait(tasks, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED)
@@ -69,10 +70,11 @@
 @contextmanager
 def stop_on_signal() -> Iterator[StopSignal]:
     """
-    Yield what SIGTERM and SIGINT ask for; ignored once it is over.
+    Handle SIGTERM and SIGINT with the ``StopSignal`` yielded; ignore them on exit.
 
-    The failure: a second SIGTERM that comes after the handlers were removed, while the
-    process ends, kills it, and a planned stop that cut nothing counts as a crash.
+    If the default handlers were restored on exit, a second SIGTERM during process
+    shutdown would kill the process, and a graceful stop that interrupted no request
+    would be counted as a crash.
     """
     loop = asyncio.get_running_loop()
     stop = StopSignal()
@@ -88,27 +90,29 @@
 
 class ReloadSignal:
     """
-    SIGHUP from the start of a process to its end: held, taken, and then ignored.
+    Handles SIGHUP during the whole life of a process.
 
-    The failure: a SIGHUP that comes before the loop has handlers, or after it has ended
-    and its handlers with it, ends the process, and a planned stop counts as a crash.
-    What is ignored stays so while the interpreter ends, which resets handlers; a mask
-    would bind one thread of several.
+    A SIGHUP that arrives before a reload callback is installed is kept and delivered to
+    the callback; one that arrives after the callback was removed is ignored. With the
+    default action, either would kill the process, and a planned stop would be counted
+    as a crash. ``SIG_IGN`` stays in force while the interpreter shuts down, whereas
+    Python handlers are reset; a signal mask would apply to one of several threads only.
     """
 
     def __init__(self) -> None:
         self._reload: Callable[[], object] | None = None
-        self._is_held = False
+        self._is_pending = False
         signal.signal(signal.SIGHUP, self._receive)
 
     @contextmanager
     def handled_by(self, reload: Callable[[], None]) -> Iterator[None]:
-        """Call ``reload`` on the running loop at each SIGHUP, one held included."""
+        """Call ``reload`` on the running loop for each SIGHUP and for a pending one."""
         loop = asyncio.get_running_loop()
-        # From a signal handler the loop may be asleep; this wakes it.
+        # The loop may be blocked in select() when the signal handler runs;
+        # call_soon_threadsafe wakes it up.
         self._reload = lambda: loop.call_soon_threadsafe(reload)
-        if self._is_held:
-            self._is_held = False
+        if self._is_pending:
+            self._is_pending = False
             self._reload()
         try:
             yield
@@ -118,13 +122,13 @@
 
     def _receive(self, number: int, frame: object) -> None:
         if self._reload is None:
-            self._is_held = True
+            self._is_pending = True
         else:
             self._reload()
 
 
 def run_in_background(stack: AsyncExitStack, work: Coroutine[Any, Any, None]) -> None:
-    """Run ``work`` in a task that ends with the stack."""
+    """Run ``work`` in a background task that is cancelled when the stack closes."""
     task = asyncio.create_task(work)
 
     async def end() -> None:
@@ -148,7 +152,7 @@
         return self._port
 
     async def stop_listening(self) -> None:
-        """Accept no more connections; the open ones go on."""
+        """Accept no more connections; those already open are kept."""
         await self._site.stop()
 
 
@@ -156,7 +160,7 @@
 async def serve_http(
     app: web.Application, address: str, grace_s: float
 ) -> AsyncIterator[int]:
-    """Serve as ``open_http`` does and yield the bound port."""
+    """Serve an application like ``open_http``, but yield only the bound port."""
     async with open_http(app, address, grace_s) as server:
         yield server.port
 
@@ -166,9 +170,9 @@
     app: web.Application, address: str, grace_s: float
 ) -> AsyncIterator[HttpServer]:
     """
-    Serve an application; port 0 lets the kernel pick.
+    Serve an application at ``ip:port``; port 0 lets the kernel choose a free port.
 
-    On exit open responses have ``grace_s`` seconds to end.
+    On exit, responses in progress have ``grace_s`` seconds to complete.
     """
     host, port = split_address(address)
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=grace_s)
--- a/packages/daemon/src/amaranthtally/daemon/log_writer.py
+++ b/packages/daemon/src/amaranthtally/daemon/log_writer.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for whoever reads them."""
+"""Writes log lines without blocking when the reader of the output stalls."""
 
 import asyncio
 import os
@@ -6,27 +6,28 @@
 
 __all__ = ["BoundedWriter"]
 
-# Lines that wait for a reader, at most: a second's worth of a busy gateway's, some
-# 400 kB. From half of it on only warnings and errors are kept.
+# Maximum number of buffered lines: what a busy gateway logs in one second, about
+# 400 kB. Once half of them are in use, only warnings and errors are buffered.
 MAX_LINES = 2000
-# How often lines that wait are tried again, in seconds: a reader that is back gets them
-# though nothing more happens.
-DRAIN_S = 1.0
-KEPT_LEVELS = (b"level=warning", b"level=error", b"level=critical")
+# Interval in seconds at which buffered lines are written again, so that a reader that
+# has resumed gets them even if nothing new is logged.
+FLUSH_INTERVAL_S = 1.0
+PRIORITY_LEVELS = (b"level=warning", b"level=error", b"level=critical")
 
 
 class BoundedWriter:
     """
-    A text stream on a descriptor; lines that can't be written are held, then dropped.
+    Non-blocking text stream on a file descriptor with a bounded buffer.
 
-    The failure: whoever reads a process's output stops, the pipe fills up, and the
-    next line blocks the loop and with it every request. Here a line waits in memory,
-    bounded, and those that are lost are counted in a line of their own.
+    With a blocking stream, a reader that stops reading lets the pipe fill up; the next
+    log line then blocks the event loop and every request. This writer buffers lines
+    that can't be written yet, drops lines once the buffer is full, and reports the
+    number of dropped lines in a log line of its own.
     """
 
     def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
         self._descriptor = descriptor
-        self._most_lines = max_lines
+        self._max_lines = max_lines
         self._lines: deque[bytes] = deque()
         self._dropped = 0
         self._total_dropped = 0
@@ -34,16 +35,16 @@
 
     @property
     def dropped(self) -> int:
-        """Lines lost since the start."""
+        """Number of lines dropped since the start."""
         return self._total_dropped
 
     @property
     def pending_lines(self) -> int:
-        """Lines that wait for the reader."""
+        """Number of lines buffered for the reader."""
         return len(self._lines)
 
     def write(self, text: str) -> int:
-        """Take one line; it is written at once where the reader keeps up."""
+        """Write one line; buffer or drop it if the pipe is full."""
         line = text.encode()
         if self._has_room(line):
             self._lines.append(line)
@@ -54,7 +55,7 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what can be written without waiting."""
+        """Write buffered lines as far as the descriptor takes them without blocking."""
         while self._lines:
             line = self._lines[0]
             try:
@@ -71,14 +72,14 @@
             self.flush()
 
     async def flush_periodically(self) -> None:
-        """Write what waits once its reader is back, until cancelled."""
+        """Write buffered lines at a fixed interval until cancelled."""
         while True:
-            await asyncio.sleep(DRAIN_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
     def _has_room(self, line: bytes) -> bool:
-        waiting = len(self._lines)
-        if waiting < self._most_lines // 2:
+        pending = len(self._lines)
+        if pending < self._max_lines // 2:
             return True
-        important = any(level in line for level in KEPT_LEVELS)
-        return important and waiting < self._most_lines
+        has_priority = any(level in line for level in PRIORITY_LEVELS)
+        return has_priority and pending < self._max_lines
--- a/packages/daemon/src/amaranthtally/daemon/logs.py
+++ b/packages/daemon/src/amaranthtally/daemon/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one key=value line per event."""
+"""Structured logs: one logfmt line (``key=value``) per event."""
 
 import logging
 import sys
@@ -12,8 +12,8 @@
 
 
 @contextmanager
-def _hidden(name: str) -> Iterator[None]:
-    """Make imports of a module fail for a while, unless it is there already."""
+def _import_blocked(name: str) -> Iterator[None]:
+    """Make imports of a module fail within the context, unless it is loaded already."""
     modules: dict[str, Any] = sys.modules
     if name in modules:
         yield
@@ -25,14 +25,15 @@
         del modules[name]
 
 
-# structlog imports rich, for tracebacks in colour, where it is installed: 3 MB of the
-# 64 MB that a daemon has. It is the command line's library, so it is found.
-with _hidden("rich"):
+# structlog imports rich, if installed, to print tracebacks in colour. That takes 3 MB
+# of the daemon's memory limit of 64 MB. rich is installed because the command line
+# depends on it.
+with _import_blocked("rich"):
     import structlog
 
 
 def configure_logs(level: str, stream: TextIO | BoundedWriter = sys.stderr) -> None:
-    """Set up structlog for the process; ``level`` as in ``logging``, lower case."""
+    """Configure structlog; ``level`` is a ``logging`` level name in lower case."""
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -52,6 +53,6 @@
 
 
 def get_logger() -> structlog.typing.FilteringBoundLogger:
-    """Return a logger; never pass it a key, a token or a body."""
+    """Return a logger; never log keys, tokens or request bodies with it."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger()
     return logger
--- a/packages/daemon/src/amaranthtally/daemon/main.py
+++ b/packages/daemon/src/amaranthtally/daemon/main.py
@@ -23,15 +23,15 @@
 DESCRIPTION = """\
 Serve multi-stage model pipelines.
 
-An entry takes callers' requests over HTTP and routes their stages; a sidecar
-stands beside one endpoint and is the only way to it. A gateway is an entry on the
-users' platform, where endpoints are called without sidecars. SIGTERM stops each
-gracefully: what has been accepted is finished first.
+An entry accepts callers' requests over HTTP and routes their stages; a sidecar
+runs beside one endpoint, and all calls to the endpoint pass through it. A gateway is
+an entry on the users' platform, where endpoints are called without sidecars. SIGTERM
+stops each of them gracefully: requests already accepted are completed first.
 """
 
 
 class ExitCode(IntEnum):
-    """What the daemon's exit says."""
+    """Exit codes of the daemon."""
 
     STOPPED = 0
     BAD_SETTINGS = 2
@@ -41,9 +41,9 @@
 def main(argv: list[str] | None = None) -> int:
     """Run one role until SIGTERM or SIGINT; return the exit code."""
     arguments = _parser().parse_args(argv)
-    start = _ROLES[arguments.role]
+    start_role = _ROLES[arguments.role]
     try:
-        work = start(arguments.settings)
+        work = start_role(arguments.settings)
     except SettingsFileError as error:
         sys.stderr.write(f"{error}\n")
         return ExitCode.BAD_SETTINGS
@@ -83,7 +83,8 @@
     return parser
 
 
-# Roles are imported when chosen: a sidecar carries none of an entry's modules.
+# Each role's modules are imported only when it is started, so that a sidecar doesn't
+# load an entry's modules into memory.
 
 
 def _start_entry(path: Path) -> Coroutine[Any, Any, None]:
@@ -95,21 +96,21 @@
 
 
 def _start_gateway(path: Path) -> Coroutine[Any, Any, None]:
-    reloads = ReloadSignal()
+    reload_signal = ReloadSignal()
     settings = load_gateway_settings(path)
-    lines = BoundedWriter(sys.stdout.fileno())
-    configure_logs(settings.log_level, lines)
+    log_writer = BoundedWriter(sys.stdout.fileno())
+    configure_logs(settings.log_level, log_writer)
     from amaranthtally.daemon.gateway.service import run_gateway
 
-    return run_gateway(settings, path, lines, reloads)
+    return run_gateway(settings, path, log_writer, reload_signal)
 
 
 def _start_sidecar(path: Path) -> Coroutine[Any, Any, None]:
-    endpoints = load_host_settings(path)
-    configure_logs(endpoints[0].log_level)
+    endpoint_settings = load_host_settings(path)
+    configure_logs(endpoint_settings[0].log_level)
     from amaranthtally.daemon.sidecar.service import run_sidecar
 
-    return run_sidecar(endpoints)
+    return run_sidecar(endpoint_settings)
 
 
 _ROLES: dict[str, Callable[[Path], Coroutine[Any, Any, None]]] = {
--- a/packages/daemon/src/amaranthtally/daemon/prompts.py
+++ b/packages/daemon/src/amaranthtally/daemon/prompts.py
@@ -1,8 +1,9 @@
 """
-The prompt that a model engine is given, and the blocks by which it may be cached.
+Prompts for model engines, and hashes of their prefix blocks for cache-aware routing.
 
-The caller's input comes first: it is known when a request arrives, and a thread that
-grows keeps its beginning. Documents found by earlier stages follow.
+A prompt starts with the caller's input, because the input is known when the request
+arrives and because a growing conversation keeps its beginning, which an engine can have
+in its prefix cache. Documents retrieved by earlier stages follow.
 """
 
 from collections.abc import Iterable
@@ -27,47 +28,47 @@
 
 
 def input_text(value: msgspec.Raw) -> str:
-    """Return a caller's input as the text that an engine sees."""
+    """Return a JSON string decoded, and any other JSON value as its JSON text."""
     decoded: Any = msgspec.json.decode(value)
     return decoded if isinstance(decoded, str) else bytes(value).decode()
 
 
 def build_prompt(text: str, documents: Iterable[str]) -> str:
-    """Return the prompt of an input's text and the documents found for it."""
+    """Return the prompt for an input text and the documents retrieved for it."""
     return "\n".join([text, *documents])
 
 
 def cache_salt(account: str) -> str:
     """
-    Return what parts an account's cached blocks from all others'.
+    Return the salt that keeps an account's cached blocks apart from other accounts'.
 
-    Without it a caller could tell by the time to the first token whether another
+    Without it, a caller could infer from the time to the first token whether another
     account had sent the same text.
     """
     return blake2b(account.encode(), digest_size=SALT_BYTES).hexdigest()
 
 
-def prefix_blocks(salt: str, text: str, most: int) -> tuple[int, ...]:
+def prefix_blocks(salt: str, text: str, max_blocks: int) -> tuple[int, ...]:
     """
-    Return the hashes of a text's first whole blocks, at most so many.
+    Return the hashes of the first complete blocks of a text, at most ``max_blocks``.
 
-    Each covers all text before it. Hashes of different salts are never the same
-    but by chance, one in 2**64.
+    Each hash covers its block and all text before it. Hashes with different salts
+    collide with a probability of 1 in 2**64.
     """
-    whole = min(most, len(text) // BLOCK_CHARS)
-    state = blake2b(salt.encode(), digest_size=HASH_BYTES)
+    block_count = min(max_blocks, len(text) // BLOCK_CHARS)
+    hasher = blake2b(salt.encode(), digest_size=HASH_BYTES)
     blocks = []
-    for index in range(whole):
+    for index in range(block_count):
         start = index * BLOCK_CHARS
-        state.update(text[start : start + BLOCK_CHARS].encode(errors="replace"))
-        blocks.append(int.from_bytes(state.digest(), "big"))
+        hasher.update(text[start : start + BLOCK_CHARS].encode(errors="replace"))
+        blocks.append(int.from_bytes(hasher.digest(), "big"))
     return tuple(blocks)
 
 
 def input_prefix_blocks(
-    account: str, pipeline: Pipeline, value: msgspec.Raw, most: int
+    account: str, pipeline: Pipeline, value: msgspec.Raw, max_blocks: int
 ) -> tuple[int, ...]:
-    """Return the blocks of an arriving input, where a stage's endpoints cache any."""
-    if not most or not pipeline.caches_prefixes:
+    """Return the prefix blocks of a request's input; empty if no stage caches any."""
+    if not max_blocks or not pipeline.caches_prefixes:
         return ()
-    return prefix_blocks(cache_salt(account), input_text(value), most)
+    return prefix_blocks(cache_salt(account), input_text(value), max_blocks)
--- a/packages/daemon/src/amaranthtally/daemon/settings_links.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_links.py
@@ -1,4 +1,4 @@
-"""Which sidecars a process tells of newer settings."""
+"""Chooses the sidecars to which a process announces its settings revision."""
 
 from bisect import bisect
 from collections.abc import Iterable, Mapping
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPlan:
-    """How many sidecars next on the ring, and how many drawn by hash."""
+    """Number of sidecars taken from the ring and number selected by hash."""
 
     ring: int
-    drawn: int
+    hashed: int
 
 
-class _Place(NamedTuple):
-    """An endpoint's place on the ring; neighbours are mostly of one region."""
+class _RingPosition(NamedTuple):
+    """An endpoint on the ring; sorting by region first makes most links regional."""
 
     region: str
     rank: bytes
@@ -33,43 +33,51 @@
 
 
 def endpoint_registrations(tree: Tree) -> dict[str, Any]:
-    """Return the registrations on which the links depend, by key."""
+    """Return the endpoint registrations, from which links are chosen, by key."""
     return {k: v for _, k, v in tree.items() if k.startswith(ENDPOINT_PREFIX)}
 
 
 def choose_links(
-    endpoints: Mapping[str, Any], own: str, plan: LinkPlan, beside: Iterable[str] = ()
+    endpoints: Mapping[str, Any],
+    process_name: str,
+    plan: LinkPlan,
+    other_endpoints: Iterable[str] = (),
 ) -> tuple[str, ...]:
     """
-    Return the addresses of the sidecars that ``own`` tells.
+    Return the addresses of the sidecars to which a process announces its revision.
 
-    The ring gives every sidecar someone who tells it, so one that restarted with
-    nothing is found; the drawn links make the way across the fleet short. Every
-    process computes its own links from the tree: nobody has to agree on them.
-    A process tells whoever comes next on the ring after any of its endpoints, those
-    ``beside`` its first one too: some endpoint would have nobody otherwise.
+    ``process_name`` is the name of an entry or of a sidecar's first endpoint;
+    ``other_endpoints`` holds the sidecar's other endpoints.
+
+    Links along the ring ensure that some process announces revisions to every sidecar,
+    also to one that restarted without settings. Links selected by hash keep the number
+    of hops across the fleet small. Every process derives its links from the tree, so
+    they need no coordination. The ring is followed from each endpoint of a process:
+    from the first alone, some sidecars would have no process announcing to them.
     """
-    names = (own, *beside)
-    own_keys = {ENDPOINT_PREFIX + name for name in names}
-    places = sorted(
-        _Place(value["region"], _rank(key), key, value["address"])
+    names = (process_name, *other_endpoints)
+    own_endpoint_keys = {ENDPOINT_PREFIX + name for name in names}
+    positions = sorted(
+        _RingPosition(value["region"], _rank(key), key, value["address"])
         for key, value in endpoints.items()
-        if key not in own_keys
+        if key not in own_endpoint_keys
+    )
+    chosen: list[_RingPosition] = []
+    for key in sorted(own_endpoint_keys & endpoints.keys()):
+        start = (endpoints[key]["region"], _rank(key))
+        chosen += _successors(positions, start, plan.ring)
+    chosen += nsmallest(
+        plan.hashed, positions, key=lambda position: _rank(process_name + position.id)
     )
-    chosen: list[_Place] = []
-    for key in sorted(own_keys & endpoints.keys()):
-        here = (endpoints[key]["region"], _rank(key))
-        chosen += _next_on_ring(places, here, plan.ring)
-    chosen += nsmallest(plan.drawn, places, key=lambda place: _rank(own + place.id))
-    return tuple(dict.fromkeys(place.address for place in chosen))
-
-
-def _next_on_ring(
-    places: list[_Place], here: tuple[str, bytes], count: int
-) -> list[_Place]:
-    start = bisect(places, here)
-    found = places[start : start + count]
-    return found + places[: count - len(found)]
+    return tuple(dict.fromkeys(position.address for position in chosen))
+
+
+def _successors(
+    positions: list[_RingPosition], start: tuple[str, bytes], count: int
+) -> list[_RingPosition]:
+    first = bisect(positions, start)
+    following = positions[first : first + count]
+    return following + positions[: count - len(following)]
 
 
 def _rank(text: str) -> bytes:
--- a/packages/daemon/src/amaranthtally/daemon/settings_state.py
+++ b/packages/daemon/src/amaranthtally/daemon/settings_state.py
@@ -1,4 +1,4 @@
-"""The settings in force in this process; the same for both roles."""
+"""Holds the settings in force in this process; entries and sidecars use it."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -20,9 +20,9 @@
 
 class SettingsState:
     """
-    Takes changes from wherever they come and tells whoever listens.
+    Applies changes from the platform, peers and commits, and notifies listeners.
 
-    The revision only rises: what is older than the tree in force is passed over.
+    The revision never decreases: data older than the tree in force is ignored.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def change_log(self) -> ChangeLog:
-        """The changes known here."""
+        """The tree in force with the newest changes."""
         return self._log
 
     @property
@@ -47,43 +47,43 @@
 
     @property
     def loaded(self) -> asyncio.Event:
-        """Set once the settings have been read, from the platform or a peer."""
+        """Set once initial settings have been read from the platform or a peer."""
         return self._loaded
 
     def add_listener(self, listener: Callable[[Tree], None]) -> None:
-        """Call ``listener`` with each newer tree."""
+        """Call ``listener`` with every newer tree that comes into force."""
         self._listeners.append(listener)
 
-    # Moving forward
+    # Applying newer settings
 
     def apply_changes(self, changes: Iterable[Change], source: str) -> None:
-        """Put newer changes in force."""
+        """Put the changes that follow the current revision in force."""
         if self._log.apply_changes(changes):
-            self._moved(source)
+            self._notify(source)
 
     def apply_tree(self, tree: Tree, source: str) -> None:
-        """Put a newer snapshot in force."""
+        """Put the tree of a snapshot in force if it is newer."""
         if self._log.apply_tree(tree):
-            self._moved(source)
+            self._notify(source)
 
-    def apply_delta(self, gap: SettingsDelta, source: str) -> None:
-        """Put in force what a peer sent."""
+    def apply_delta(self, delta: SettingsDelta, source: str) -> None:
+        """Put the settings in a peer's delta in force as far as they are newer."""
         try:
-            moved = self._log.apply_delta(
-                ChangeDelta(gap.revision, gap.changes, gap.snapshot)
+            is_newer = self._log.apply_delta(
+                ChangeDelta(delta.revision, delta.changes, delta.snapshot)
             )
         except (msgspec.DecodeError, ValueError) as error:
             log.error("settings_gap_unreadable", source=source, cause=str(error))
             return
-        if moved:
-            self._moved(source)
+        if is_newer:
+            self._notify(source)
 
     def changes_since(self, revision: int) -> SettingsDelta:
-        """Return what a peer at ``revision`` lacks."""
-        gap = self._log.delta_since(revision)
-        return SettingsDelta(gap.revision, gap.changes, gap.snapshot)
+        """Return the settings that a peer at ``revision`` is missing."""
+        delta = self._log.delta_since(revision)
+        return SettingsDelta(delta.revision, delta.changes, delta.snapshot)
 
-    def _moved(self, source: str) -> None:
+    def _notify(self, source: str) -> None:
         revision_gauge.set({}, self.revision)
         for listener in self._listeners:
             listener(self.tree)
--- a/packages/daemon/src/amaranthtally/daemon/signatures.py
+++ b/packages/daemon/src/amaranthtally/daemon/signatures.py
@@ -1,4 +1,4 @@
-"""Signatures by keys from the settings, two of them while keys are rotated."""
+"""HMAC signatures with keys from the settings: two keys during a key rotation."""
 
 import hmac
 from collections.abc import Sequence
@@ -9,7 +9,7 @@
 
 
 class KeyRing:
-    """Signs with the first key and accepts any, so that keys can be rotated."""
+    """Signs with the first key and verifies with any, so that keys can be rotated."""
 
     def __init__(self, keys: Sequence[str]) -> None:
         self._keys = [key.encode() for key in keys]
@@ -18,12 +18,13 @@
         return bool(self._keys)
 
     def sign(self, body: bytes) -> bytes:
-        """Return the signature of a body; raises ``IndexError`` without a key."""
+        """Return the signature of a body; raises ``IndexError`` if there is no key."""
         return hmac.digest(self._keys[0], body, DIGEST)
 
     def accepts(self, body: bytes, signature: bytes) -> bool:
-        """Tell whether one of the keys signed a body."""
-        # Every key is tried, in time that does not depend on the signature.
+        """Return whether ``signature`` was made from ``body`` with one of the keys."""
+        # Compares with every key, in constant time, so that the time taken reveals
+        # nothing about the signature.
         matches = [
             hmac.compare_digest(signature, hmac.digest(key, body, DIGEST))
             for key in self._keys
--- a/tests/unit/test_host_links.py
+++ b/tests/unit/test_host_links.py
@@ -1,34 +1,38 @@
-"""Links of processes that stand before several endpoints."""
+"""Settings links of sidecars that serve several endpoints."""
 
 from amaranthtally.daemon.settings_links import choose_links
 from amaranthtally.daemon.settings_sync import SIDECAR_LINKS
 
 HOSTS = 12
-EACH = 15
+ENDPOINTS_PER_HOST = 15
 
 
-def test_somebody_tells_every_host():
+def test_every_host_has_an_incoming_ring_link():
     """
-    A restarted host answers with the settings of last week: no process thinks that
-    it has to tell any of its endpoints, since each looks only at its own first one.
+    Guards against hosts without an incoming ring link. If each sidecar followed the
+    ring from its first endpoint only, no process would announce revisions to some
+    hosts, and such a host would keep outdated settings after a restart.
     """
     hosts = {
-        host: [f"e{host}-{number}" for number in range(EACH)] for host in range(HOSTS)
+        host: [f"e{host}-{number}" for number in range(ENDPOINTS_PER_HOST)]
+        for host in range(HOSTS)
     }
-    tree = {
+    registrations = {
         f"endpoint.{name}": {"region": "cluj", "address": name}
         for names in hosts.values()
         for name in names
     }
-    told = set()
+    linked = set()
     for host, (first, *rest) in hosts.items():
-        links = choose_links(tree, first, SIDECAR_LINKS, rest)
+        links = choose_links(registrations, first, SIDECAR_LINKS, rest)
         assert not set(links) & set(hosts[host])
-        told |= {name for name in links if choose_ring(tree, first, rest, name)}
-    assert {host for host, names in hosts.items() if told & set(names)} == set(hosts)
+        linked |= {
+            name for name in links if is_ring_link(registrations, first, rest, name)
+        }
+    assert {host for host, names in hosts.items() if linked & set(names)} == set(hosts)
 
 
-def choose_ring(tree, first, rest, name):
-    """Whether a link is one of the ring, and not drawn by chance."""
-    ring = SIDECAR_LINKS.__class__(SIDECAR_LINKS.ring, 0)
-    return name in choose_links(tree, first, ring, rest)
+def is_ring_link(registrations, first, rest, name):
+    """Whether a link to ``name`` comes from the ring and is not selected by hash."""
+    ring_only = SIDECAR_LINKS.__class__(SIDECAR_LINKS.ring, 0)
+    return name in choose_links(registrations, first, ring_only, rest)
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines whose reader has stopped."""
+"""Log output whose reader has stalled."""
 
 import os
 import time
@@ -22,15 +22,15 @@
 
 def read_all(reader):
     os.set_blocking(reader, False)
-    found = b""
+    output = b""
     try:
         while part := os.read(reader, 65_536):
-            found += part
+            output += part
     except BlockingIOError:
-        return found
+        return output
 
 
-def test_lines_are_written_as_they_come(pipe):
+def test_lines_are_written_immediately(pipe):
     reader, descriptor = pipe
     writer = BoundedWriter(descriptor)
     writer.write(line(1))
@@ -38,10 +38,11 @@
     assert writer.pending_lines == 0
 
 
-def test_a_reader_that_stops_holds_nobody_up(pipe):
+def test_stalled_reader_does_not_block_writes(pipe):
     """
-    Every request of a process hangs. Whoever read its output had stopped, the pipe was
-    full, and the next log line waited for it.
+    Guards against blocking the event loop: when the reader of a process's output
+    stalls, the pipe fills up, and a blocking write of the next log line would hang
+    every request.
     """
     _, descriptor = pipe
     writer = BoundedWriter(descriptor, max_lines=100)
@@ -53,7 +54,7 @@
     assert writer.dropped > 0
 
 
-def test_failures_are_kept_before_successes(pipe):
+def test_errors_are_buffered_when_info_lines_are_dropped(pipe):
     _, descriptor = pipe
     writer = BoundedWriter(descriptor, max_lines=100)
     while not writer.dropped:
@@ -63,23 +64,23 @@
     assert writer.pending_lines == before + 1
 
 
-def test_what_was_lost_is_counted_and_no_line_is_torn(pipe):
+def test_dropped_lines_are_counted_and_no_line_is_truncated(pipe):
     reader, descriptor = pipe
     writer = BoundedWriter(descriptor, max_lines=100)
     for number in range(20_000):
         writer.write(line(number))
-    found = read_all(reader)
+    output = read_all(reader)
     while writer.pending_lines:
         writer.flush()
-        found += read_all(reader)
-    lines = found.decode().splitlines()
+        output += read_all(reader)
+    lines = output.decode().splitlines()
     counts = [x for x in lines if "log_lines_lost" in x]
     assert sum(int(x.rpartition("=")[2]) for x in counts) == writer.dropped
     assert all(x.startswith("level=") and "=" in x for x in lines)
     assert len(lines) - len(counts) + writer.dropped == 20_000
 
 
-def test_a_closed_pipe_ends_no_process(pipe):
+def test_write_to_closed_pipe_does_not_raise(pipe):
     reader, descriptor = os.pipe()
     os.close(reader)
     writer = BoundedWriter(descriptor)
--- a/tests/unit/test_process_settings.py
+++ b/tests/unit/test_process_settings.py
@@ -1,10 +1,10 @@
-"""Settings of one process."""
+"""Loading of a process's settings file."""
 
 import pytest
 
 from amaranthtally.settings import SettingsFileError, load_sidecar_settings
 
-GOOD = """
+VALID = """
 endpoint = "encoder-1"
 host = "host-1"
 region = "cluj"
@@ -16,16 +16,18 @@
 """
 
 
-def test_good_settings_get_defaults(tmp_path):
+def test_missing_optional_keys_get_defaults(tmp_path):
     path = tmp_path / "sidecar.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID)
     assert load_sidecar_settings(path).concurrency == 4
 
 
-def test_every_mistake_is_reported_at_once_with_its_remedy(tmp_path):
+def test_all_mistakes_are_reported_together_with_remedies(tmp_path):
     path = tmp_path / "sidecar.toml"
-    bad = GOOD.replace('"127.0.0.1:0"', '"nowhere"', 1).replace('host = "host-1"', "")
-    path.write_text(bad + 'concurency = 2\nqueue_capacity = "many"\n')
+    invalid = VALID.replace('"127.0.0.1:0"', '"nowhere"', 1).replace(
+        'host = "host-1"', ""
+    )
+    path.write_text(invalid + 'concurency = 2\nqueue_capacity = "many"\n')
     with pytest.raises(SettingsFileError) as caught:
         load_sidecar_settings(path)
     message = str(caught.value)
@@ -38,7 +40,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "endpoint = ", b"\xff"])
-def test_an_unreadable_file_says_what_to_do(tmp_path, text):
+def test_unreadable_file_error_states_the_remedy(tmp_path, text):
     path = tmp_path / "sidecar.toml"
     if text is not None:
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
--- a/tests/unit/test_reload_signal.py
+++ b/tests/unit/test_reload_signal.py
@@ -1,4 +1,4 @@
-"""SIGHUP before a process can take it, while it does, and after."""
+"""SIGHUP before, during and after the time in which a process can reload."""
 
 import asyncio
 import os
@@ -11,35 +11,35 @@
 
 
 @pytest.fixture
-def reloads():
+def reload_signal():
     before = signal.getsignal(signal.SIGHUP)
     yield ReloadSignal()
     signal.signal(signal.SIGHUP, before)
 
 
-def send():
+def send_sighup():
     os.kill(os.getpid(), signal.SIGHUP)
 
 
-def test_a_reload_that_came_while_the_process_started_is_done(reloads):
-    """Guards against settings that changed during a start and are never read."""
+def test_sighup_during_start_is_delivered_later(reload_signal):
+    """Guards against losing a reload requested while the process was starting."""
 
     async def check():
         done = asyncio.Event()
-        send()
-        with reloads.handled_by(done.set):
+        send_sighup()
+        with reload_signal.handled_by(done.set):
             async with asyncio.timeout(2.0):
                 await done.wait()
 
     run_async(check())
 
 
-def test_each_reload_is_done_while_the_loop_sleeps(reloads):
+def test_each_sighup_wakes_the_sleeping_loop(reload_signal):
     async def check():
         done = []
-        with reloads.handled_by(lambda: done.append(1)):
+        with reload_signal.handled_by(lambda: done.append(1)):
             for number in range(1, 4):
-                send()
+                send_sighup()
                 async with asyncio.timeout(2.0):
                     while len(done) < number:
                         await asyncio.sleep(0.01)
@@ -47,14 +47,14 @@
     run_async(check())
 
 
-def test_a_reload_that_comes_at_the_end_is_no_crash(reloads):
+def test_sighup_during_shutdown_is_ignored(reload_signal):
     async def check():
         done = []
-        with reloads.handled_by(lambda: done.append(1)):
+        with reload_signal.handled_by(lambda: done.append(1)):
             pass
-        send()
+        send_sighup()
         await asyncio.sleep(0.05)
         assert not done
 
     run_async(check())
-    send()
+    send_sighup()
--- a/tests/unit/test_settings_sync.py
+++ b/tests/unit/test_settings_sync.py
@@ -1,4 +1,4 @@
-"""Fetches of settings from peers: how many at once."""
+"""Limit on concurrent settings fetches from peers."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from tests.support import run_async
 
 
-def test_slow_fetches_do_not_pile_up():
-    """Guards against copies of all settings that fill a thin link together."""
+def test_slow_fetches_do_not_accumulate():
+    """Guards against concurrent copies of all settings that saturate a slow link."""
 
     async def check():
-        at_once = []
+        concurrent = []
         running = 0
 
         async def fetch(revision):
             nonlocal running
             running += 1
-            at_once.append(running)
+            concurrent.append(running)
             await asyncio.sleep(10.0)
             return SettingsDelta(0, (), b"")
 
@@ -27,7 +27,7 @@
             sync.note_revision(revision, fetch)
             await asyncio.sleep(0.1)
         await sync.close()
-        # A second one beside the first, whose peer may be paused.
-        assert max(at_once) == 2
+        # One fetch, and a second one started because the first hangs.
+        assert max(concurrent) == 2
 
     run_async(check())
