--- a/packages/daemon/src/amaranthtally/daemon/main.py
+++ b/packages/daemon/src/amaranthtally/daemon/main.py
@@ -26,7 +26,7 @@
 An entry accepts callers' requests over HTTP and routes their stages; a sidecar
 runs beside one endpoint, and all calls to the endpoint pass through it. A gateway is
 an entry on the users' platform, where endpoints are called without sidecars. SIGTERM
-stops each of them gracefully: requests already accepted are completed first.
+stops each of them gracefully: requests already accepted are finished first.
 """
 
 
--- a/packages/settings/src/amaranthtally/settings/__init__.py
+++ b/packages/settings/src/amaranthtally/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Process settings in TOML, and the tree of settings that operators drive."""
+"""Process settings in TOML files, and the settings tree that operators change."""
 
 from amaranthtally.settings.change_log import (
     ChangeDelta,
--- a/packages/settings/src/amaranthtally/settings/catalogue.py
+++ b/packages/settings/src/amaranthtally/settings/catalogue.py
@@ -1,18 +1,18 @@
-"""The keys that operators may set."""
+"""Registers the keys that operators may set."""
 
 from typing import Any
 
 from amaranthtally.settings.keys import Placement, key
 from amaranthtally.settings.kinds import (
     EndpointRegistration,
-    flag,
+    boolean,
     model,
     name,
     names,
     number,
     table,
     text,
-    whole,
+    integer,
 )
 from amaranthtally.settings.tree import Level
 
@@ -32,7 +32,7 @@
 DEFAULT_DEADLINE_MS = 4000
 
 AT_FIRM = Placement(frozenset({Level.FIRM}))
-AT_ACCOUNT = Placement(frozenset({Level.ACCOUNT}), alone=True)
+AT_ACCOUNT = Placement(frozenset({Level.ACCOUNT}), single_level=True)
 AT_PIPELINE = Placement(frozenset({Level.PIPELINE}))
 AT_FIRM_OR_REGION = Placement(frozenset({Level.FIRM, Level.REGION}))
 NOT_AT_PIPELINE = Placement(frozenset({Level.FIRM, Level.REGION, Level.ACCOUNT}))
@@ -49,13 +49,13 @@
 
 @key(NEXT_ACCOUNT_KEY, DIGEST, placement=AT_ACCOUNT)
 def _next_account_key(_: Any) -> str:
-    """SHA-256 of a second key, valid beside the first while keys are rotated."""
+    """SHA-256 of a second key, valid in addition to the first during a key rotation."""
     return ""
 
 
 @key("limit.rate", number(0), unit="requests/s", default=0, placement=NOT_AT_PIPELINE)
 def _limit_rate(_: Any) -> str:
-    """Requests a second that a client account may send; 0 sets no limit."""
+    """Requests per second that a client account may send; 0 sets no limit."""
     return ""
 
 
@@ -82,7 +82,7 @@
     return ""
 
 
-@key("deadline_ms", whole(1, MAX_DEADLINE_MS), unit="ms", default=DEFAULT_DEADLINE_MS)
+@key("deadline_ms", integer(1, MAX_DEADLINE_MS), unit="ms", default=DEFAULT_DEADLINE_MS)
 def _deadline(_: Any) -> str:
     """Time a request may take when its caller names none."""
     return ""
@@ -96,19 +96,19 @@
 
 @key("stage.NAME.model", model(), default="")
 def _stage_model(_: Any) -> str:
-    """Model that the stage asks for: BASE, BASE+ADAPTER, or either @VERSION."""
+    """Model that the stage requests: BASE, BASE+ADAPTER, or either @VERSION."""
     return ""
 
 
-@key("stage.NAME.repeatable", flag(), default=True)
+@key("stage.NAME.repeatable", boolean(), default=True)
 def _stage_repeatable(_: Any) -> str:
     """Whether a call may run twice; false for a call with a side effect."""
     return ""
 
 
-@key("stage.NAME.streams", flag(), default=False)
+@key("stage.NAME.streams", boolean(), default=False)
 def _stage_streams(_: Any) -> str:
-    """Whether the stage's text is passed on as it is made."""
+    """Whether the stage's text is streamed to the caller as it is generated."""
     return ""
 
 
@@ -123,7 +123,7 @@
 
 @key("weight.attainment", number(0, 1), default=0.7)
 def _weight(_: Any) -> str:
-    """Weighs answers in time (1) against cost by stage (0)."""
+    """Weight of meeting deadlines (1) against the cost of the stages (0)."""
     return ""
 
 
@@ -147,7 +147,7 @@
     placement=AT_FIRM_OR_REGION,
 )
 def _region_latency(_: Any) -> str:
-    """One-way latency to other regions, until it is measured."""
+    """One-way latency to other regions, used until it has been measured."""
     return ""
 
 
@@ -169,7 +169,7 @@
     return ""
 
 
-@key("entries", whole(1, 100_000), default=1, placement=AT_FIRM_OR_REGION)
+@key("entries", integer(1, 100_000), default=1, placement=AT_FIRM_OR_REGION)
 def _entries(_: Any) -> str:
     """Entries that share each client account's limit."""
     return ""
@@ -180,7 +180,7 @@
 
 @key("endpoint.ID", table(EndpointRegistration), placement=AT_FIRM)
 def _endpoint(value: Any) -> str:
-    """Registration of an endpoint: pool, place, sidecar's address, models, role."""
+    """Registration of an endpoint: pool, location, sidecar address, models, role."""
     models = value.get("models", [])
     slots = value.get("model_slots", 0)
     if len(set(models)) != len(models):
@@ -190,7 +190,7 @@
     return ""
 
 
-@key("drain.HOST", flag(), default=False, placement=AT_FIRM)
+@key("drain.HOST", boolean(), default=False, placement=AT_FIRM)
 def _drain(_: Any) -> str:
-    """Whether the endpoints of a host take no new work."""
+    """Whether a host is drained, so that its endpoints accept no new work."""
     return ""
--- a/packages/settings/src/amaranthtally/settings/change_log.py
+++ b/packages/settings/src/amaranthtally/settings/change_log.py
@@ -1,4 +1,4 @@
-"""The log of changes as one process knows it: a tree and the newest changes."""
+"""A process's copy of the change log: the tree and the newest changes."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,25 +11,26 @@
 
 __all__ = ["ChangeLog", "ChangeDelta", "decode_change", "encode_change"]
 
-KEPT_BYTES = 1_048_576
+MAX_RETAINED_BYTES = 1_048_576
 
 
 def encode_change(change: Change) -> bytes:
-    """Return the bytes under which a change is kept and sent."""
+    """Return the JSON in which a change is stored and sent."""
     return msgspec.json.encode(change)
 
 
 def decode_change(data: bytes) -> Change:
-    """Return the change held by ``data``; raises ``msgspec.DecodeError``."""
+    """Return the change encoded in ``data``; raises ``msgspec.DecodeError``."""
     return msgspec.json.decode(data, type=Change)
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeDelta:
     """
-    What a peer lacks: changes, encoded, oldest first.
+    The settings that a peer is missing: encoded changes, oldest first.
 
-    ``snapshot`` holds the whole tree instead where the changes are kept no more.
+    If some of these changes are no longer retained, ``snapshot`` holds the whole encoded
+    tree instead.
     """
 
     revision: int
@@ -38,28 +39,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Kept:
+class _EncodedChange:
     number: int
     data: bytes
 
 
 class ChangeLog:
     """
-    Folds changes into a tree; the revision only rises.
+    Applies changes to a tree; the revision never decreases.
 
-    The newest changes are kept for peers and for the history, at most
-    ``kept_bytes`` of them.
+    The newest changes are retained for peers and for the history, up to ``max_bytes``
+    in encoded form.
     """
 
-    def __init__(self, kept_bytes: int = KEPT_BYTES) -> None:
-        self._kept_bytes = kept_bytes
-        self._kept: deque[_Kept] = deque()
+    def __init__(self, max_bytes: int = MAX_RETAINED_BYTES) -> None:
+        self._max_bytes = max_bytes
+        self._retained: deque[_EncodedChange] = deque()
         self._size = 0
         self._tree = Tree()
 
     @property
     def tree(self) -> Tree:
-        """The tree of the newest change."""
+        """The tree after the newest change."""
         return self._tree
 
     @property
@@ -69,58 +70,62 @@
 
     @property
     def oldest(self) -> int:
-        """Number of the oldest change kept; one past the newest when none is."""
-        return self._kept[0].number if self._kept else self.revision + 1
+        """Number of the oldest retained change, or ``revision + 1`` if there is none."""
+        return self._retained[0].number if self._retained else self.revision + 1
 
     def retained_changes(self) -> list[Change]:
-        """Return the changes kept, oldest first."""
-        return [decode_change(kept.data) for kept in self._kept]
+        """Return the retained changes, oldest first."""
+        return [decode_change(retained.data) for retained in self._retained]
 
     def find(self, number: int) -> Change | None:
-        """Return a change that is kept, or ``None``."""
-        place = number - self.oldest
-        if not 0 <= place < len(self._kept):
+        """Return the retained change with this number, or ``None``."""
+        index = number - self.oldest
+        if not 0 <= index < len(self._retained):
             return None
-        return decode_change(self._kept[place].data)
+        return decode_change(self._retained[index].data)
 
-    # Moving forward
+    # Applying newer settings
 
     def apply_changes(self, changes: Iterable[Change]) -> bool:
-        """Fold in what comes next, in any order; true when the tree moved."""
+        """Apply the changes that follow the revision; return whether there were any."""
         before = self.revision
         for change in sorted(changes, key=lambda c: c.number):
             if change.number == self.revision + 1:
                 self._tree = self._tree.fold(change)
-                self._keep(change)
+                self._retain(change)
         return self.revision > before
 
     def apply_tree(self, tree: Tree) -> bool:
-        """Go on to a snapshot's tree if it is newer; true when the tree moved."""
+        """Replace the tree by a snapshot's if that is newer; return whether it was."""
         if tree.revision <= self.revision:
             return False
         self._tree = tree
-        self._kept.clear()
+        self._retained.clear()
         self._size = 0
         return True
 
-    def apply_delta(self, gap: ChangeDelta) -> bool:
-        """Fold in what a peer sent; true when the tree moved."""
-        moved = bool(gap.snapshot) and self.apply_tree(decode_tree(gap.snapshot))
-        changes = [decode_change(data) for data in gap.changes]
-        return self.apply_changes(changes) or moved
+    def apply_delta(self, delta: ChangeDelta) -> bool:
+        """Apply a delta from a peer; return whether the tree has changed."""
+        has_changed = bool(delta.snapshot) and self.apply_tree(
+            decode_tree(delta.snapshot)
+        )
+        changes = [decode_change(data) for data in delta.changes]
+        return self.apply_changes(changes) or has_changed
 
     def delta_since(self, revision: int) -> ChangeDelta:
-        """Return what a peer at ``revision`` lacks."""
+        """Return the settings that a peer at ``revision`` is missing."""
         if revision >= self.revision:
             return ChangeDelta(self.revision)
         if revision + 1 < self.oldest:
             return ChangeDelta(self.revision, snapshot=encode_tree(self._tree))
-        lacking = tuple(kept.data for kept in self._kept if kept.number > revision)
-        return ChangeDelta(self.revision, lacking)
+        missing = tuple(
+            retained.data for retained in self._retained if retained.number > revision
+        )
+        return ChangeDelta(self.revision, missing)
 
-    def _keep(self, change: Change) -> None:
+    def _retain(self, change: Change) -> None:
         data = encode_change(change)
-        self._kept.append(_Kept(change.number, data))
+        self._retained.append(_EncodedChange(change.number, data))
         self._size += len(data)
-        while self._size > self._kept_bytes:
-            self._size -= len(self._kept.popleft().data)
+        while self._size > self._max_bytes:
+            self._size -= len(self._retained.popleft().data)
--- a/packages/settings/src/amaranthtally/settings/checks.py
+++ b/packages/settings/src/amaranthtally/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a batch before it is committed: keys, values, usable pipelines."""
+"""Validates a batch of operations before commit: keys, values and pipelines."""
 
 import difflib
 from collections.abc import Iterable, Iterator
@@ -22,12 +22,12 @@
 
 __all__ = ["Mistake", "check_ops"]
 
-NOTHING_SERVED: Served = {}
+NO_SERVED_MODELS: Served = {}
 
 
 @dataclass(frozen=True, slots=True)
 class Mistake:
-    """What is wrong with one key of a batch, and the remedy."""
+    """A mistake in one key of a batch, with its remedy."""
 
     scope: str
     key: str
@@ -38,20 +38,23 @@
 
 
 def check_ops(
-    tree: Tree, ops: Iterable[Op], served: Served = NOTHING_SERVED
+    tree: Tree, ops: Iterable[Op], served: Served = NO_SERVED_MODELS
 ) -> list[Mistake]:
     """
-    Return what forbids committing ``ops`` on ``tree``; empty when nothing.
+    Return the mistakes that prevent committing ``ops`` to ``tree``; empty if none.
 
-    ``served`` holds the models that engines are known to answer now, by endpoint:
-    a pipeline is not switched to a model that none of its pool has loaded yet.
+    ``served`` holds the models that engines currently serve, by endpoint. It prevents
+    switching a pipeline to a model that no engine of its pool has loaded yet.
     """
     batch = list(ops)
-    mistakes = [found for op in batch if (found := _check_op(op)) is not None]
+    mistakes = [mistake for op in batch if (mistake := _check_op(op)) is not None]
     if mistakes:
         return mistakes
     after = tree.apply(batch)
-    return [*_unknown_names(after, batch), *_unusable(tree, after, batch, served)]
+    return [
+        *_unknown_names(after, batch),
+        *_introduced_faults(tree, after, batch, served),
+    ]
 
 
 # Keys and values
@@ -64,43 +67,45 @@
         return Mistake(op.scope, op.key, str(error))
     known = find_key(op.key)
     if known is None:
-        return Mistake(op.scope, op.key, f"unknown key; {_remedy(nearest_key(op.key))}")
+        return Mistake(
+            op.scope, op.key, f"unknown key; {_key_remedy(nearest_key(op.key))}"
+        )
     if op.value is None:
         return None
     detail = known.mistake(scope, op.value)
     return Mistake(op.scope, op.key, detail) if detail else None
 
 
-def _remedy(nearest: str) -> str:
+def _key_remedy(nearest: str) -> str:
     if nearest:
         return f"did you mean {nearest!r}?"
     return "see 'amaranthtally settings keys'"
 
 
 def _unknown_names(after: Tree, batch: list[Op]) -> Iterator[Mistake]:
-    pipelines = _named(after, STAGES_KEY, "pipeline")
-    accounts = _named(after, ACCOUNT_KEY, "account")
+    pipelines = _names_at_level(after, STAGES_KEY, "pipeline")
+    accounts = _names_at_level(after, ACCOUNT_KEY, "account")
     for op in batch:
         scope = Scope.parse(op.scope)
         if op.value is None:
             continue
         if scope.account and scope.account not in accounts:
-            remedy = _nearest_name(scope.account, accounts, f"set {ACCOUNT_KEY} first")
+            remedy = _name_remedy(scope.account, accounts, f"set {ACCOUNT_KEY} first")
             detail = f"no client account {scope.account!r}; {remedy}"
             yield Mistake(op.scope, op.key, detail)
         if scope.pipeline and scope.pipeline not in pipelines:
-            remedy = _nearest_name(scope.pipeline, pipelines, "set its stages first")
+            remedy = _name_remedy(scope.pipeline, pipelines, "set its stages first")
             detail = f"no pipeline {scope.pipeline!r}; {remedy}"
             yield Mistake(op.scope, op.key, detail)
 
 
-def _named(tree: Tree, key: str, level: str) -> set[str]:
+def _names_at_level(tree: Tree, key: str, level: str) -> set[str]:
     return {getattr(scope, level) for scope, k, _ in tree.items() if k == key}
 
 
-def _nearest_name(name: str, known: set[str], otherwise: str) -> str:
-    found = difflib.get_close_matches(name, known, 1)
-    return f"did you mean {found[0]!r}?" if found else otherwise
+def _name_remedy(name: str, known: set[str], default_remedy: str) -> str:
+    matches = difflib.get_close_matches(name, known, 1)
+    return f"did you mean {matches[0]!r}?" if matches else default_remedy
 
 
 # Usable pipelines
@@ -108,23 +113,27 @@
 
 @dataclass(frozen=True, slots=True)
 class _Fault:
-    """A pipeline that cannot run, as a client account in a region meets it."""
+    """A stage that cannot run in a pipeline, as resolved at one scope."""
 
     scope: Scope
     key: str
     detail: str
 
 
-def _unusable(
+def _introduced_faults(
     before: Tree, after: Tree, batch: list[Op], served: Served
 ) -> list[Mistake]:
-    """Return the pipelines that the batch breaks; older faults don't block it."""
+    """Return the faults that the batch introduces; existing ones don't block it."""
     prefixes = (STAGES_KEY, STAGE_PREFIX, ENDPOINT_PREFIX, DRAIN_PREFIX)
     if not any(op.key.startswith(prefixes) for op in batch):
         return []
     offered_before = _offered_models(before, served)
-    offered = _offered_models(after, served, _role_changes(before, after, batch))
-    scopes = _affected(after, batch, _has_less(offered_before, offered))
+    offered = _offered_models(
+        after, served, _endpoints_changing_role(before, after, batch)
+    )
+    scopes = _affected_scopes(
+        after, batch, _offers_fewer_models(offered_before, offered)
+    )
     faults = _faults(after, scopes, offered)
     if not faults:
         return []
@@ -133,19 +142,25 @@
     return [Mistake(str(fault.scope), fault.key, fault.detail) for fault in new]
 
 
-def _has_less(before: dict[str, set[str]], after: dict[str, set[str]]) -> bool:
+def _offers_fewer_models(
+    before: dict[str, set[str]], after: dict[str, set[str]]
+) -> bool:
     return any(not models <= after.get(pool, set()) for pool, models in before.items())
 
 
-def _affected(tree: Tree, batch: list[Op], less_offered: bool) -> list[Scope]:
-    """Return the scopes whose pipelines the batch may have broken."""
-    if less_offered:
+def _affected_scopes(tree: Tree, batch: list[Op], offers_fewer: bool) -> list[Scope]:
+    """Return the scopes whose pipelines may be unusable after the batch."""
+    if offers_fewer:
         return _pipeline_scopes(tree)
-    places = [Scope.parse(op.scope) for op in batch if _is_stage_key(op.key)]
-    if not places:
+    changed_scopes = [Scope.parse(op.scope) for op in batch if _is_stage_key(op.key)]
+    if not changed_scopes:
         return []
     scopes = _pipeline_scopes(tree)
-    return [scope for scope in scopes if any(scope.overlaps(p) for p in places)]
+    return [
+        scope
+        for scope in scopes
+        if any(scope.overlaps(changed) for changed in changed_scopes)
+    ]
 
 
 def _is_stage_key(key: str) -> bool:
@@ -173,14 +188,14 @@
         detail = (
             f"pipeline {scope.pipeline!r} would have no endpoint for stage {stage!r}: "
             f"pool {pool!r} has none that takes work; "
-            + _nearest_name(pool, set(offered), "register or undrain one first")
+            + _name_remedy(pool, set(offered), "register or undrain one first")
         )
         yield _Fault(scope, pool_key, detail)
         return
     model_key = f"{STAGE_PREFIX}{stage}.model"
     model = tree.resolve(scope, model_key) or ANY_MODEL
     if model != ANY_MODEL and not models & {model, ANY_MODEL}:
-        remedy = _nearest_name(
+        remedy = _name_remedy(
             model,
             models,
             "load it on an endpoint first, or keep it on one that is not changing "
@@ -191,22 +206,24 @@
 
 
 def _offered_models(
-    tree: Tree, served: Served, busy: frozenset[str] = frozenset()
+    tree: Tree, served: Served, changing_role: frozenset[str] = frozenset()
 ) -> dict[str, set[str]]:
-    """Return the models by pool, over the endpoints that take work."""
+    """Return the models that endpoints accepting work offer, by pool."""
     offered: dict[str, set[str]] = {}
     for offer in offers(tree, served):
-        if offer.endpoint not in busy:
+        if offer.endpoint not in changing_role:
             offered.setdefault(offer.pool, set()).update(offer.models)
     return offered
 
 
-def _role_changes(before: Tree, after: Tree, batch: list[Op]) -> frozenset[str]:
+def _endpoints_changing_role(
+    before: Tree, after: Tree, batch: list[Op]
+) -> frozenset[str]:
     """
-    Return the endpoints that take no calls for a while: their role changes.
+    Return the endpoints whose role changes; they accept no calls meanwhile.
 
-    A pool whose engines all changed their role at once would refuse every call
-    until the last running one had ended.
+    If all engines of a pool changed their role at the same time, the pool would refuse
+    every new call until all running calls had ended.
     """
     firm = Scope()
     changed = set()
@@ -221,10 +238,10 @@
 
 def _pipeline_scopes(tree: Tree) -> list[Scope]:
     """
-    Return one scope for each way in which a pipeline may resolve.
+    Return the scopes at which a pipeline's stages may resolve differently.
 
-    Only a region or client account that overrides a stage's key resolves
-    otherwise than the pipeline itself, so the others need no look.
+    Only regions and client accounts that override a key of a stage resolve differently
+    from the pipeline itself, so the others are not checked.
     """
     pipelines, accounts, regions = set(), {""}, {""}
     for scope, key, _ in tree.items():
--- a/packages/settings/src/amaranthtally/settings/documents.py
+++ b/packages/settings/src/amaranthtally/settings/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the administration API, the same for the entry and the command line."""
+"""Documents of the administration API, shared by the entry and the command line."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 class Value(msgspec.Struct, frozen=True):
-    """One value, where it is set."""
+    """A value and the scope and key at which it is set."""
 
     scope: str
     key: str
@@ -40,10 +40,10 @@
 
 class Explanation(msgspec.Struct, frozen=True):
     """
-    The value that holds at a scope, and where it comes from.
+    The effective value of a key at a scope, and its source.
 
-    ``source`` is the scope that gave it, ``default``, or ``unset``; ``values`` are
-    all that are set on the way, the one that holds first.
+    ``source`` is the scope at which the value is set, ``default`` or ``unset``;
+    ``values`` holds all values set for the scope, the effective one first.
     """
 
     revision: int
@@ -82,7 +82,7 @@
 
 
 class UndoRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Who undoes a change, and why."""
+    """The operator who undoes a change, and the reason."""
 
     who: str
     why: str
@@ -90,10 +90,12 @@
 
 class EndpointRow(msgspec.Struct, frozen=True):
     """
-    An endpoint as this entry sees it; ``heard`` is false before any load came.
+    State of an endpoint as this entry knows it.
 
-    ``models`` and ``role`` are what the operators want; ``served`` (``None`` where
-    it answers any model), ``engine_role`` and ``last_order`` are its sidecar's word.
+    ``heard`` is false until the entry has received a load report from the endpoint.
+    ``models`` and ``role`` are the desired state set by operators. Its sidecar reports
+    ``served`` (``None`` if the endpoint serves any model), ``engine_role`` and
+    ``last_order``.
     """
 
     id: str
@@ -137,7 +139,7 @@
 
 
 class MistakeRow(msgspec.Struct, frozen=True):
-    """What is wrong with one key of a batch."""
+    """A mistake in one key of a batch."""
 
     scope: str
     key: str
@@ -145,7 +147,7 @@
 
 
 class AdminProblem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An error (RFC 9457), with the mistakes or the conflict behind it."""
+    """An error (RFC 9457) with the mistakes or the conflict that caused it."""
 
     type: str
     title: str
--- a/packages/settings/src/amaranthtally/settings/keys.py
+++ b/packages/settings/src/amaranthtally/settings/keys.py
@@ -1,4 +1,4 @@
-"""The registry of keys: what may be set, where, and within which range."""
+"""Registry of settings keys with their levels and ranges of values."""
 
 import difflib
 import re
@@ -16,23 +16,23 @@
 
 PLACEHOLDER = re.compile(r"[A-Z]+")
 PLACEHOLDER_VALUE = r"[a-z0-9][a-zA-Z0-9_-]*"
-TAIL_PLACEHOLDER_VALUE = r"[a-z0-9][a-zA-Z0-9_.-]*"
+LAST_PLACEHOLDER_VALUE = r"[a-z0-9][a-zA-Z0-9_.-]*"
 ANY_LEVEL = frozenset(Level)
 
-# Says what is wrong with a value beyond its kind; an empty string when nothing is.
+# Returns a mistake in a value that its kind does not detect, or an empty string.
 Check = Callable[[Any], str]
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """The levels at which a key may be set; ``alone`` forbids a combined scope."""
+    """Levels at which a key may be set; ``single_level`` forbids combined scopes."""
 
     levels: frozenset[Level] = ANY_LEVEL
-    alone: bool = False
+    single_level: bool = False
 
     def mistake(self, scope: Scope) -> str:
-        """Return what is wrong with setting the key at ``scope``, or ''."""
-        if scope.level not in self.levels or (self.alone and "/" in str(scope)):
+        """Return why the key may not be set at ``scope``, or ''."""
+        if scope.level not in self.levels or (self.single_level and "/" in str(scope)):
             names = " or ".join(v.value for v in Level if v in self.levels)
             return f"may not be set at {scope}; set it at {names}"
         return ""
@@ -41,9 +41,9 @@
 @dataclass(frozen=True, slots=True)
 class Key:
     """
-    One kind of key.
+    A registered key or family of keys.
 
-    A ``template`` holds placeholders in capitals: ``stage.NAME.model``.
+    Parts of ``template`` in capitals are placeholders, as in ``stage.NAME.model``.
     """
 
     template: str
@@ -56,21 +56,21 @@
 
     @property
     def pattern(self) -> re.Pattern[str]:
-        """The expression that the key's names match."""
-        return _compile(self.template)
+        """Regular expression that matches the names of the key."""
+        return _compile_template(self.template)
 
     def mistake(self, scope: Scope, value: Any) -> str:
-        """Return what is wrong with ``value`` at ``scope``, or ''."""
-        misplaced = self.placement.mistake(scope)
-        if misplaced:
-            return misplaced
+        """Return why ``value`` may not be set at ``scope``, or ''."""
+        placement_mistake = self.placement.mistake(scope)
+        if placement_mistake:
+            return placement_mistake
         try:
             msgspec.convert(value, self.kind.type)
         except msgspec.ValidationError as error:
-            return f"{error}; give {self._wanted()}"
+            return f"{error}; give {self._expected()}"
         return self.check(value)
 
-    def _wanted(self) -> str:
+    def _expected(self) -> str:
         return f"{self.kind.text} in {self.unit}" if self.unit else self.kind.text
 
 
@@ -85,7 +85,7 @@
     default: Any = None,
     placement: Placement | None = None,
 ) -> Callable[[Check], Check]:
-    """Register a key; the decorated check's docstring documents it."""
+    """Register a key; the docstring of the decorated check is its documentation."""
 
     def register(check: Check) -> Check:
         doc = " ".join((check.__doc__ or "").split())
@@ -98,12 +98,12 @@
 
 
 def known_keys() -> list[Key]:
-    """Return every registered key, by template."""
+    """Return every registered key, sorted by template."""
     return [_KEYS[template] for template in sorted(_KEYS)]
 
 
 def find_key(name: str) -> Key | None:
-    """Return the registered key that ``name`` is an instance of."""
+    """Return the registered key whose template matches ``name``, or ``None``."""
     exact = _KEYS.get(name)
     if exact is not None:
         return exact
@@ -111,30 +111,32 @@
 
 
 def nearest_key(name: str) -> str:
-    """Return the right name nearest to a wrong one, or ''."""
-    candidates = [_instance(template, name) for template in _KEYS]
-    found = difflib.get_close_matches(name, candidates, 1)
-    return found[0] if found else ""
+    """Return the valid key name most similar to an unknown one, or ''."""
+    candidates = [_fill_template(template, name) for template in _KEYS]
+    matches = difflib.get_close_matches(name, candidates, 1)
+    return matches[0] if matches else ""
 
 
 @cache
-def _compile(template: str) -> re.Pattern[str]:
+def _compile_template(template: str) -> re.Pattern[str]:
     parts = template.split(".")
-    last = len(parts) - 1
-    return re.compile(r"\.".join(_part(p, n == last) for n, p in enumerate(parts)))
+    is_last = len(parts) - 1
+    return re.compile(
+        r"\.".join(_part_pattern(p, n == is_last) for n, p in enumerate(parts))
+    )
 
 
-def _part(part: str, last: bool) -> str:
+def _part_pattern(part: str, is_last: bool) -> str:
     if not PLACEHOLDER.fullmatch(part):
         return re.escape(part)
-    return TAIL_PLACEHOLDER_VALUE if last else PLACEHOLDER_VALUE
+    return LAST_PLACEHOLDER_VALUE if is_last else PLACEHOLDER_VALUE
 
 
-def _instance(template: str, name: str) -> str:
-    """Fill a template's placeholders with the parts that ``name`` has there."""
-    given = name.split(".")
+def _fill_template(template: str, name: str) -> str:
+    """Replace a template's placeholders by the parts of ``name`` at their positions."""
+    name_parts = name.split(".")
     parts = [
-        given[n] if n < len(given) and PLACEHOLDER.fullmatch(part) else part
+        name_parts[n] if n < len(name_parts) and PLACEHOLDER.fullmatch(part) else part
         for n, part in enumerate(template.split("."))
     ]
     return ".".join(parts)
--- a/packages/settings/src/amaranthtally/settings/kinds.py
+++ b/packages/settings/src/amaranthtally/settings/kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of values that a key may take."""
+"""Kinds of values that a settings key may have."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -13,27 +13,27 @@
     "Kind",
     "Role",
     "choice",
-    "flag",
+    "boolean",
     "model",
     "name",
     "names",
     "number",
     "table",
     "text",
-    "whole",
+    "integer",
 ]
 
 NAME_PATTERN = r"^[a-z0-9][a-zA-Z0-9_.-]{0,62}$"
-PART = r"[a-z0-9][a-zA-Z0-9_.-]{0,62}"
-VERSION = r"[a-zA-Z0-9][a-zA-Z0-9_.-]{0,62}"
-MODEL_PATTERN = rf"^{PART}(\+{PART})?(@{VERSION})?$"
+MODEL_NAME_PART = r"[a-z0-9][a-zA-Z0-9_.-]{0,62}"
+MODEL_VERSION = r"[a-zA-Z0-9][a-zA-Z0-9_.-]{0,62}"
+MODEL_PATTERN = rf"^{MODEL_NAME_PART}(\+{MODEL_NAME_PART})?(@{MODEL_VERSION})?$"
 ADDRESS_PATTERN = r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$"
-UNBOUNDED = float("inf")
+NO_UPPER_BOUND = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A type that msgspec checks, and the words for it."""
+    """A type for msgspec to validate, and its description in error messages."""
 
     type: Any
     text: str
@@ -41,10 +41,11 @@
 
 class Role(Enum):
     """
-    What a model engine does of a call: the prompt, the answer, or both.
+    The phases of a call that a model engine runs: prefill, decoding, or both.
 
-    An engine with the role ``prefill`` cannot answer and takes no calls; one with
-    ``decode`` takes them, but is slow at prompts that it has not cached.
+    An engine with the role ``prefill`` cannot generate answers and accepts no calls.
+    One with the role ``decode`` accepts calls, but is slow with prompts that are not in
+    its cache.
     """
 
     BOTH = "both"
@@ -54,11 +55,11 @@
 
 class EndpointRegistration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Where an endpoint stands; ``address`` is its sidecar's ``ip:port``.
+    Location and models of an endpoint; ``address`` is its sidecar's ``ip:port``.
 
-    An empty list of ``models`` stands for any model; a call that names none gets
-    the first. ``model_slots`` is how many models fit into the engine's memory at
-    once; 0 sets no bound.
+    An empty list of ``models`` means any model; a call that names no model gets the
+    first in the list. ``model_slots`` is the number of models that fit into memory of
+    the engine at the same time; 0 means no limit.
     """
 
     pool: Annotated[str, Meta(pattern=NAME_PATTERN)]
@@ -71,29 +72,29 @@
     model_slots: Annotated[int, Meta(ge=0)] = 0
 
 
-def whole(low: int, high: int) -> Kind:
-    """Return the kind of whole numbers from ``low`` to ``high``."""
+def integer(low: int, high: int) -> Kind:
+    """Return the kind of integers from ``low`` to ``high``, both included."""
     return Kind(
         Annotated[int, Meta(ge=low, le=high)], f"a whole number from {low} to {high}"
     )
 
 
-def number(low: float, high: float = UNBOUNDED) -> Kind:
-    """Return the kind of numbers from ``low`` to ``high``."""
-    if high == UNBOUNDED:
+def number(low: float, high: float = NO_UPPER_BOUND) -> Kind:
+    """Return the kind of numbers from ``low`` to ``high``, both included."""
+    if high == NO_UPPER_BOUND:
         return Kind(Annotated[float, Meta(ge=low)], f"a number of at least {low:g}")
     limits = Meta(ge=low, le=high)
     return Kind(Annotated[float, limits], f"a number from {low:g} to {high:g}")
 
 
-def flag() -> Kind:
-    """Return the kind of true and false."""
+def boolean() -> Kind:
+    """Return the kind of booleans."""
     return Kind(bool, "true or false")
 
 
-def text(pattern: str, words: str) -> Kind:
-    """Return the kind of texts that match ``pattern``."""
-    return Kind(Annotated[str, Meta(pattern=pattern)], words)
+def text(pattern: str, description: str) -> Kind:
+    """Return the kind of strings that match ``pattern``."""
+    return Kind(Annotated[str, Meta(pattern=pattern)], description)
 
 
 def name() -> Kind:
@@ -102,18 +103,18 @@
 
 
 def names(at_least: int = 0) -> Kind:
-    """Return the kind of lists of names."""
+    """Return the kind of lists of names with ``at_least`` items or more."""
     item = Annotated[str, Meta(pattern=NAME_PATTERN)]
     return Kind(Annotated[list[item], Meta(min_length=at_least)], "a list of names")
 
 
 def model() -> Kind:
-    """Return the kind of references to models."""
+    """Return the kind of model references."""
     return text(MODEL_PATTERN, "a model as BASE, BASE+ADAPTER or either @VERSION")
 
 
 def choice(*options: str) -> Kind:
-    """Return the kind of texts that are one of ``options``."""
+    """Return the kind of strings that are one of ``options``."""
     return Kind(Literal[options], "one of " + ", ".join(options))
 
 
--- a/packages/settings/src/amaranthtally/settings/models.py
+++ b/packages/settings/src/amaranthtally/settings/models.py
@@ -1,4 +1,4 @@
-"""References to models, and what the tree says of models at an endpoint."""
+"""Model references, and the models that endpoints offer according to a tree."""
 
 import re
 from collections.abc import Iterator, Mapping
@@ -31,17 +31,17 @@
 STAGES_KEY = "stages"
 STAGE_PREFIX = "stage."
 _MODEL = re.compile(MODEL_PATTERN)
-# What an entry has heard of the models at endpoints, by endpoint.
+# The models that endpoints serve according to their load reports, by endpoint.
 Served = Mapping[str, frozenset[str]]
 
 
 @dataclass(frozen=True, slots=True)
 class ModelReference:
     """
-    A base model, an adapter on it, and the version of the two together.
+    A base model, an optional adapter for it, and an optional version of both together.
 
-    Written ``base``, ``base@version``, ``base+adapter`` or ``base+adapter@version``;
-    an empty adapter or version leaves it open.
+    Written as ``base``, ``base@version``, ``base+adapter`` or ``base+adapter@version``.
+    An empty adapter or version means that none is given.
     """
 
     base: str
@@ -55,7 +55,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "ModelReference":
-        """Return the reference written as ``text``; raises ``ValueError``."""
+        """Parse the text form of a reference; raises ``ValueError``."""
         if not _MODEL.fullmatch(text):
             raise ValueError(
                 f"model {text!r}: write BASE, BASE@VERSION, BASE+ADAPTER or "
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """An endpoint that takes calls of a pool, and the models it is to answer."""
+    """An endpoint that accepts calls, its pool, and the models that it offers."""
 
     endpoint: str
     pool: str
@@ -77,9 +77,10 @@
 
 def offers(tree: Tree, served: Served | None = None) -> Iterator[Offer]:
     """
-    Yield what the endpoints that take work offer.
+    Yield an offer for every endpoint that accepts calls.
 
-    What an endpoint is to hold counts only where it is not known to lack it.
+    A registered model is left out if ``served`` shows that the endpoint has not loaded
+    it; without an item in ``served``, all registered models are offered.
     """
     firm = Scope()
     for _, key, value in tree.items():
@@ -93,8 +94,8 @@
         yield Offer(name, value["pool"], _offered(name, value, served or {}))
 
 
-def _offered(name: str, table: dict[str, Any], served: Served) -> frozenset[str]:
-    models = frozenset(table.get("models") or (ANY_MODEL,))
+def _offered(name: str, registration: dict[str, Any], served: Served) -> frozenset[str]:
+    models = frozenset(registration.get("models") or (ANY_MODEL,))
     if ANY_MODEL in models or name not in served:
         return models
     return models & served[name]
@@ -102,25 +103,26 @@
 
 def required_models(tree: Tree, endpoint: str) -> frozenset[str]:
     """
-    Return the models that pipelines ask for and only this endpoint could answer.
+    Return the models that pipelines request and no other endpoint of the pool offers.
 
-    Its own registration may name them no more: a change that leaves a pipeline
-    without its model is refused, but a drain of all other hosts is not undone.
+    They may be missing from the endpoint's own registration: a change that would leave
+    a pipeline without its model is refused, but a drain of all other hosts is not
+    reverted.
     """
-    table = tree.get(Scope(), ENDPOINT_PREFIX + endpoint)
-    if table is None:
+    registration = tree.get(Scope(), ENDPOINT_PREFIX + endpoint)
+    if registration is None:
         return frozenset()
     elsewhere: set[str] = set()
     for offer in offers(tree):
-        if offer.pool == table["pool"] and offer.endpoint != endpoint:
+        if offer.pool == registration["pool"] and offer.endpoint != endpoint:
             elsewhere |= offer.models
     if ANY_MODEL in elsewhere:
         return frozenset()
-    return frozenset(_asked(tree, table["pool"]) - elsewhere)
+    return frozenset(_requested_models(tree, registration["pool"]) - elsewhere)
 
 
-def _asked(tree: Tree, pool: str) -> set[str]:
-    """Return the models that a stage of any pipeline may ask of a pool."""
+def _requested_models(tree: Tree, pool: str) -> set[str]:
+    """Return the models that any stage of any pipeline may request from a pool."""
     pools: dict[str, set[str]] = {}
     models: dict[str, set[str]] = {}
     for _, key, value in tree.items():
@@ -131,18 +133,19 @@
             pools.setdefault(stage, set()).add(value)
         elif name == "model":
             models.setdefault(stage, set()).add(value)
-    # A pool and a model may be set at different levels: any two may come together.
+    # A stage's pool and model may be set at different levels, so any pool of a stage
+    # may be combined with any of its models.
     return {
         model
-        for stage, asked in models.items()
+        for stage, stage_models in models.items()
         if pool == stage or pool in pools.get(stage, ())
-        for model in asked
+        for model in stage_models
     }
 
 
 def longest_deadline_s(tree: Tree) -> float:
-    """Return the longest deadline that a request may have by the tree, in seconds."""
+    """Return the longest deadline in the tree, default included, in seconds."""
     known = find_key(DEADLINE_KEY)
     default = known.default if known is not None else MAX_DEADLINE_MS
-    found = [value for _, key, value in tree.items() if key == DEADLINE_KEY]
-    return max([default, *found]) / 1000
+    deadlines_ms = [value for _, key, value in tree.items() if key == DEADLINE_KEY]
+    return max([default, *deadlines_ms]) / 1000
--- a/packages/settings/src/amaranthtally/settings/process.py
+++ b/packages/settings/src/amaranthtally/settings/process.py
@@ -1,4 +1,4 @@
-"""Settings of one process, read from a TOML file and checked all at once."""
+"""Settings of one process, read from a TOML file; reports all mistakes at once."""
 
 import difflib
 import tomllib
@@ -21,13 +21,13 @@
 
 Name = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,62}$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$")]
-NoAddress = Annotated[str, Meta(pattern=r"^([0-9a-fA-F.:\[\]]+:[0-9]{1,5})?$")]
+OptionalAddress = Annotated[str, Meta(pattern=r"^([0-9a-fA-F.:\[\]]+:[0-9]{1,5})?$")]
 Url = Annotated[str, Meta(pattern=r"^https?://[^\s]+$")]
 Secret = Annotated[str, Meta(min_length=16)]
 Positive = Annotated[float, Meta(gt=0)]
 Count = Annotated[int, Meta(ge=1)]
 ENDPOINTS = "endpoints"
-OWN_KEYS = frozenset({"endpoint", "wire_address", "endpoint_url"})
+ENDPOINT_KEYS = frozenset({"endpoint", "wire_address", "endpoint_url"})
 SHARED_KEYS = frozenset({"host", "region", "data_centre", "http_address", "log_level"})
 
 
@@ -35,8 +35,8 @@
     """
     Settings of an entry. Addresses are ``ip:port``; times are in seconds.
 
-    ``prefix_blocks`` bounds the blocks of a prompt by which engines are chosen that
-    may hold them in cache; 0 leaves caches out of routing.
+    ``prefix_blocks`` is the maximum number of prompt blocks that are hashed to route a
+    request to an engine with the prompt's prefix in its cache; 0 disables this.
     """
 
     name: Name
@@ -61,13 +61,13 @@
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
     """
-    Settings of an entry that calls endpoints itself, on the users' platform.
+    Settings of a gateway: an entry on the users' platform that calls endpoints directly.
 
-    Addresses are ``ip:port``, times in seconds. ``regions`` gives the region of each
-    data centre. ``stop_grace`` is how long a process may take to stop.
-    ``retry_ratio`` and ``retry_slack`` bound what all entries together send beyond the
-    first attempt of each request. Metrics are served at ``metrics_address``, nowhere
-    where it is empty.
+    Addresses are ``ip:port``; times are in seconds. ``regions`` maps data centres to
+    regions. ``stop_grace`` is the time that a process may take to stop. ``retry_ratio``
+    and ``retry_slack`` limit the attempts that all entries together make in addition to
+    the first attempt of each request. Metrics are served at ``metrics_address``; if it
+    is empty, they are not served.
     """
 
     name: Name
@@ -82,7 +82,7 @@
     stop_grace: Positive = 8.0
     retry_ratio: Annotated[float, Meta(ge=0)] = 0.2
     retry_slack: Annotated[float, Meta(ge=0)] = 50.0
-    metrics_address: NoAddress = ""
+    metrics_address: OptionalAddress = ""
     log_level: Annotated[str, Meta(pattern="^(debug|info|warning|error)$")] = "info"
 
 
@@ -114,7 +114,7 @@
 
 
 class SettingsFileError(Exception):
-    """A settings file has mistakes; the message lists every one."""
+    """A settings file is invalid; the message lists all mistakes, one per line."""
 
     def __init__(self, path: Path, mistakes: list[str]) -> None:
         lines = [f"{path}: {mistake}" for mistake in mistakes]
@@ -142,60 +142,67 @@
 
 def load_host_settings(path: Path) -> list[SidecarSettings]:
     """
-    Read the settings of a sidecar for every endpoint of its host.
+    Read the settings of a sidecar process for all endpoints of its host.
 
-    The file holds either one endpoint's settings or what all share, and a table
-    ``[[endpoints]]`` for each; raises ``SettingsFileError``.
+    The file holds either the settings of one endpoint, or the settings that all
+    endpoints share and a table ``[[endpoints]]`` for each of them; raises
+    ``SettingsFileError``.
     """
     table = _read_table(path)
     if ENDPOINTS not in table:
         return [_convert(path, table, SidecarSettings)]
-    mistakes = _wrong_tables(table)
+    mistakes = _endpoint_table_mistakes(table)
     if mistakes:
         raise SettingsFileError(path, mistakes)
     shared = {key: value for key, value in table.items() if key != ENDPOINTS}
-    merged = [{**shared, **own} for own in table[ENDPOINTS]]
-    found = [_unknown_keys(t, SidecarSettings) for t in merged]
-    found += [_wrong_values(t, SidecarSettings) for t in merged]
-    mistakes = list(dict.fromkeys(m for several in found for m in several))
+    merged = [{**shared, **endpoint} for endpoint in table[ENDPOINTS]]
+    mistake_lists = [_unknown_keys(t, SidecarSettings) for t in merged]
+    mistake_lists += [_wrong_values(t, SidecarSettings) for t in merged]
+    mistakes = list(dict.fromkeys(m for listed in mistake_lists for m in listed))
     if mistakes:
         raise SettingsFileError(path, mistakes)
     return [msgspec.convert(t, SidecarSettings) for t in merged]
 
 
-def _wrong_tables(table: dict[str, Any]) -> list[str]:
+def _endpoint_table_mistakes(table: dict[str, Any]) -> list[str]:
     tables = table[ENDPOINTS]
     if not isinstance(tables, list) or not tables:
         return [f"key {ENDPOINTS!r}: write one [[{ENDPOINTS}]] for each endpoint"]
     mistakes = [
-        f"key {key!r}: of one endpoint; move it below [[{ENDPOINTS}]]"
-        for key in sorted(OWN_KEYS & table.keys())
+        f"key {key!r}: belongs to one endpoint; move it below [[{ENDPOINTS}]]"
+        for key in sorted(ENDPOINT_KEYS & table.keys())
     ]
     mistakes += [
-        f"key {key!r}: of the whole process; move it above [[{ENDPOINTS}]]"
+        f"key {key!r}: applies to the whole process; move it above [[{ENDPOINTS}]]"
         for key in sorted(SHARED_KEYS)
-        if any(key in own for own in tables)
+        if any(key in endpoint for endpoint in tables)
     ]
-    for key in sorted(OWN_KEYS):
-        values = [own[key] for own in tables if not _is_any_port(own.get(key, ":0"))]
+    for key in sorted(ENDPOINT_KEYS):
+        values = [
+            endpoint[key]
+            for endpoint in tables
+            if not _is_port_zero(endpoint.get(key, ":0"))
+        ]
         if len(set(values)) < len(values):
             mistakes.append(f"key {key!r}: the same for two endpoints; correct one")
     return mistakes
 
 
-def _is_any_port(value: Any) -> bool:
+def _is_port_zero(value: Any) -> bool:
     return str(value).endswith(":0")
 
 
-def _load(path: Path, kind: type[SettingsT]) -> SettingsT:
-    return _convert(path, _read_table(path), kind)
+def _load(path: Path, settings_type: type[SettingsT]) -> SettingsT:
+    return _convert(path, _read_table(path), settings_type)
 
 
-def _convert(path: Path, table: dict[str, Any], kind: type[SettingsT]) -> SettingsT:
-    mistakes = _unknown_keys(table, kind) + _wrong_values(table, kind)
+def _convert(
+    path: Path, table: dict[str, Any], settings_type: type[SettingsT]
+) -> SettingsT:
+    mistakes = _unknown_keys(table, settings_type) + _wrong_values(table, settings_type)
     if mistakes:
         raise SettingsFileError(path, mistakes)
-    return msgspec.convert(table, kind)
+    return msgspec.convert(table, settings_type)
 
 
 def _read_table(path: Path) -> dict[str, Any]:
@@ -205,12 +212,12 @@
         detail = f"cannot be read ({error.strerror}); check the path"
         raise SettingsFileError(path, [detail]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        detail = f"is not TOML: {error}; mend that line"
+        detail = f"is not valid TOML: {error}; correct that line"
         raise SettingsFileError(path, [detail]) from error
 
 
-def _unknown_keys(table: dict[str, Any], kind: type[SettingsT]) -> list[str]:
-    known = [field.name for field in msgspec.structs.fields(kind)]
+def _unknown_keys(table: dict[str, Any], settings_type: type[SettingsT]) -> list[str]:
+    known = [field.name for field in msgspec.structs.fields(settings_type)]
     mistakes = []
     for key in table:
         if key in known:
@@ -221,10 +228,10 @@
     return mistakes
 
 
-def _wrong_values(table: dict[str, Any], kind: type[SettingsT]) -> list[str]:
-    types = get_type_hints(kind, include_extras=True)
+def _wrong_values(table: dict[str, Any], settings_type: type[SettingsT]) -> list[str]:
+    types = get_type_hints(settings_type, include_extras=True)
     mistakes = []
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(settings_type):
         if field.name not in table:
             if field.required:
                 mistakes.append(f"key {field.name!r}: missing; add it")
--- a/packages/settings/src/amaranthtally/settings/proposal.py
+++ b/packages/settings/src/amaranthtally/settings/proposal.py
@@ -1,4 +1,4 @@
-"""What an operator wants changed, and whether it may still follow others' changes."""
+"""Proposals of operators, and their conflicts with changes committed meanwhile."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -19,10 +19,10 @@
 
 class Proposal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    A batch to commit whole or not at all.
+    A batch of operations that is committed atomically.
 
-    ``revision`` is the one that the operator looked at; the newest when left out.
-    ``id`` names the change, so that a repeat of the same proposal finds it.
+    ``revision`` is the revision on which the operator based the proposal; it defaults to
+    the newest. ``id`` identifies the change, so that a repeated proposal is recognised.
     """
 
     who: str
@@ -33,7 +33,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """One place that two operators changed: what it was and what each wants."""
+    """A key in conflict between two operators: the former value and both new ones."""
 
     scope: str
     key: str
@@ -43,7 +43,7 @@
 
 
 def with_previous_values(tree: Tree, ops: Iterable[Op]) -> list[Op]:
-    """Return the operations with the value that each one replaces."""
+    """Return the operations with ``before`` set to the value that each replaces."""
     return [
         Op(op.scope, op.key, op.value, tree.get(Scope.parse(op.scope), op.key))
         for op in ops
@@ -52,36 +52,37 @@
 
 def find_overlap(ops: Iterable[Op], since: Iterable[Change]) -> Change | None:
     """
-    Return the first change since the operator looked that touches the same thing.
+    Return the first change in ``since`` that overlaps with ``ops``, or ``None``.
 
-    Two operations overlap when they set the same key and some request could see
-    both scopes. Where none overlaps, every value that the operator replaces and
-    every value that it would have been inherited from is still the one looked at,
-    so committing on top of the others gives what committing first would have given.
+    ``since`` holds the changes after the revision on which the operator based ``ops``.
+    Two operations overlap if they set the same key and some request could resolve it
+    at both scopes. Without an overlap, every value that the operator replaces, and
+    every value that it would otherwise inherit, is still the one at that revision.
+    Committing after the other changes then has the same result as committing first.
     """
     batch = list(ops)
     for change in since:
-        if any(_touches(a, b) for a in batch for b in change.ops):
+        if any(_overlap(a, b) for a in batch for b in change.ops):
             return change
     return None
 
 
 def differences(ops: Iterable[Op], winner: Change) -> list[Difference]:
-    """Return the operations of two batches that touch the same thing."""
+    """Return the differences between overlapping operations of two batches."""
     return [
         Difference(theirs.scope, theirs.key, theirs.before, theirs.value, op.value)
         for op in ops
         for theirs in winner.ops
-        if _touches(op, theirs)
+        if _overlap(op, theirs)
     ]
 
 
 def undo_ops(change: Change) -> list[Op]:
-    """Return the operations that put back what a change replaced."""
+    """Return the operations that restore the values which a change replaced."""
     return [Op(op.scope, op.key, op.before) for op in change.ops]
 
 
-def _touches(one: Op, other: Op) -> bool:
-    return one.key == other.key and Scope.parse(one.scope).overlaps(
-        Scope.parse(other.scope)
+def _overlap(first: Op, second: Op) -> bool:
+    return first.key == second.key and Scope.parse(first.scope).overlaps(
+        Scope.parse(second.scope)
     )
--- a/packages/settings/src/amaranthtally/settings/snapshot.py
+++ b/packages/settings/src/amaranthtally/settings/snapshot.py
@@ -1,4 +1,4 @@
-"""A tree as bytes, cut into parts that the platform's service can hold."""
+"""Encoded trees, split into parts that fit into the platform's key-value service."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -17,7 +17,7 @@
     "join_snapshot",
 ]
 
-# The platform holds values up to a megabyte.
+# The platform's key-value service limits values to one megabyte.
 PART_BYTES = 900_000
 DIGEST_DIGITS = 32
 
@@ -35,10 +35,11 @@
 
 class SnapshotPointer(msgspec.Struct, frozen=True):
     """
-    Names the parts of the newest whole snapshot.
+    Identifies the parts of the newest complete snapshot.
 
-    ``block`` numbers the block of changes it was taken in; ``oldest_snapshot``
-    and ``oldest_changes`` are the first blocks that may still hold keys.
+    ``block`` is the number of the block of changes in which it was taken;
+    ``oldest_snapshot`` and ``oldest_changes`` are the first blocks whose keys may not
+    have been deleted yet.
     """
 
     revision: int
@@ -51,35 +52,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """An encoded tree in parts, and the digest of the whole."""
+    """The parts of an encoded tree, and the digest of all parts together."""
 
     digest: str
     parts: tuple[bytes, ...]
 
 
 def encode_tree(tree: Tree) -> bytes:
-    """Return the tree as bytes, the same for equal trees."""
+    """Return the tree as JSON; equal trees give equal bytes."""
     rows = [_Row(str(scope), key, value) for scope, key, value in tree.items()]
     rows.sort(key=lambda row: (row.scope, row.key))
     return msgspec.json.encode(_Document(tree.revision, rows))
 
 
 def decode_tree(data: bytes) -> Tree:
-    """Return the tree held by ``data``; raises ``msgspec.DecodeError``."""
+    """Return the tree encoded in ``data``; raises ``msgspec.DecodeError``."""
     document = msgspec.json.decode(data, type=_Document)
     ops = (Op(row.scope, row.key, row.value) for row in document.rows)
     return Tree(document.revision - 1).apply(ops)
 
 
 def split_snapshot(tree: Tree, part_bytes: int = PART_BYTES) -> Snapshot:
-    """Return the tree in parts of at most ``part_bytes``."""
+    """Encode the tree and split it into parts of at most ``part_bytes``."""
     data = encode_tree(tree)
     parts = tuple(data[n : n + part_bytes] for n in range(0, len(data), part_bytes))
     return Snapshot(_digest(data), parts)
 
 
 def join_snapshot(pointer: SnapshotPointer, parts: list[bytes]) -> Tree | None:
-    """Return the tree, or ``None`` where a part is missing or not the right one."""
+    """Return the tree, or ``None`` if parts are missing or the digest differs."""
     data = b"".join(parts)
     if len(parts) != pointer.parts or _digest(data) != pointer.digest:
         return None
--- a/packages/settings/src/amaranthtally/settings/tree.py
+++ b/packages/settings/src/amaranthtally/settings/tree.py
@@ -1,4 +1,4 @@
-"""The tree of settings: a fold of numbered changes, resolved by scope."""
+"""The settings tree: the result of numbered changes, resolved by scope."""
 
 import re
 import sys
@@ -14,11 +14,11 @@
 
 
 NAME = re.compile(r"[a-zA-Z0-9][a-zA-Z0-9_.-]{0,62}")
-SHARED_SCOPES = 4096
+SCOPE_CACHE_SIZE = 4096
 
 
 class Level(Enum):
-    """Levels of the tree, highest first; a lower one overrides a higher one."""
+    """Levels of the tree, highest first; a value at a lower level overrides."""
 
     FIRM = "firm"
     REGION = "region"
@@ -29,9 +29,9 @@
 @dataclass(frozen=True, slots=True)
 class Scope:
     """
-    A place in the tree; an empty name leaves that level open.
+    A scope in the tree; an empty name means that the level is not restricted.
 
-    Written ``firm``, ``region:cluj``, ``account:a/pipeline:p``.
+    Written as ``firm``, ``region:cluj`` or ``account:a/pipeline:p``.
     """
 
     region: str = ""
@@ -44,7 +44,7 @@
 
     @property
     def level(self) -> Level:
-        """The lowest level that the scope names."""
+        """The lowest level that has a name in the scope."""
         if self.pipeline:
             return Level.PIPELINE
         if self.account:
@@ -52,27 +52,27 @@
         return Level.REGION if self.region else Level.FIRM
 
     @property
-    def chain(self) -> "tuple[Scope, ...]":
-        """The scopes whose values hold here, the overriding one first."""
-        found = [
+    def lookup_order(self) -> "tuple[Scope, ...]":
+        """The scopes from which values are inherited, highest precedence first."""
+        scopes = [
             Scope(region, account, pipeline)
             for pipeline in dict.fromkeys((self.pipeline, ""))
             for account in dict.fromkeys((self.account, ""))
             for region in dict.fromkeys((self.region, ""))
         ]
-        return tuple(found)
+        return tuple(scopes)
 
     def overlaps(self, other: "Scope") -> bool:
-        """Whether some region, account and pipeline lies below both scopes."""
+        """Whether some region, account and pipeline belongs to both scopes."""
         return (
-            _agree(self.region, other.region)
-            and _agree(self.account, other.account)
-            and _agree(self.pipeline, other.pipeline)
+            _is_compatible(self.region, other.region)
+            and _is_compatible(self.account, other.account)
+            and _is_compatible(self.pipeline, other.pipeline)
         )
 
     @classmethod
     def parse(cls, text: str) -> "Scope":
-        """Return the scope written as ``text``; raises ``ValueError``."""
+        """Parse the text form of a scope; raises ``ValueError``."""
         if text == Level.FIRM.value:
             return cls()
         names: dict[str, str] = {}
@@ -96,7 +96,7 @@
 
 
 class Op(msgspec.Struct, frozen=True):
-    """One value set, or unset when ``value`` is ``None``."""
+    """Sets a key at a scope, or unsets it if ``value`` is ``None``."""
 
     scope: str
     key: str
@@ -105,7 +105,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A numbered batch of operations: who, when (RFC 3339), why, what."""
+    """A numbered batch of operations with its author, time (RFC 3339) and reason."""
 
     number: int
     id: str
@@ -116,7 +116,7 @@
 
 
 class Tree:
-    """The settings at one revision; never changed in place."""
+    """The settings at one revision; immutable."""
 
     def __init__(
         self, revision: int = 0, values: dict[tuple[Scope, str], Any] | None = None
@@ -126,24 +126,24 @@
 
     @property
     def revision(self) -> int:
-        """Number of the last change folded in."""
+        """Number of the last change applied."""
         return self._revision
 
     def fold(self, change: Change) -> "Tree":
-        """Return the tree with the next change; raises ``ValueError`` on a gap."""
+        """Return the tree after the next change; any other raises ``ValueError``."""
         if change.number != self._revision + 1:
-            raise ValueError(f"change {change.number} after {self._revision}")
+            raise ValueError(f"change {change.number} does not follow {self._revision}")
         return self.apply(change.ops)
 
     def apply(self, ops: Iterable[Op]) -> "Tree":
-        """Return the tree one revision on, with a batch of operations."""
+        """Return the tree of the next revision, with a batch of operations applied."""
         values = dict(self._values)
         for op in ops:
-            place = (_shared_scope(op.scope), op.key)
+            scoped_key = (_interned_scope(op.scope), op.key)
             if op.value is None:
-                values.pop(place, None)
+                values.pop(scoped_key, None)
             else:
-                values[place] = _shared(op.value)
+                values[scoped_key] = _interned(op.value)
         return Tree(self._revision + 1, values)
 
     def get(self, scope: Scope, key: str) -> Any:
@@ -151,43 +151,46 @@
         return self._values.get((scope, key))
 
     def resolve(self, scope: Scope, key: str) -> Any:
-        """Return the value that holds at ``scope``, or ``None``."""
-        for place in scope.chain:
-            value = self._values.get((place, key))
+        """Return the effective value at ``scope``, which may be inherited, or ``None``."""
+        for source in scope.lookup_order:
+            value = self._values.get((source, key))
             if value is not None:
                 return value
         return None
 
     def explain(self, scope: Scope, key: str) -> list[tuple[Scope, Any]]:
-        """Return the values set for ``scope``, the one that holds first."""
-        found = [(place, self._values.get((place, key))) for place in scope.chain]
-        return [(place, value) for place, value in found if value is not None]
+        """Return all values set for ``scope``, the effective one first."""
+        values = [
+            (source, self._values.get((source, key))) for source in scope.lookup_order
+        ]
+        return [(source, value) for source, value in values if value is not None]
 
     def items(self) -> list[tuple[Scope, str, Any]]:
-        """Return every value that is set."""
+        """Return every value set, with its scope and key."""
         return [(scope, key, value) for (scope, key), value in self._values.items()]
 
 
-# A decoded change holds its own copy of each name. Kept so, 11,000 registrations
-# that name a few pools, regions and data centres take megabytes of equal strings.
+# Every decoded change has its own copies of names. Without sharing, 11,000 endpoint
+# registrations, which refer to a few pools, regions and data centres, would take
+# megabytes for equal strings.
 
-_shared_scope = lru_cache(SHARED_SCOPES)(Scope.parse)
+_interned_scope = lru_cache(SCOPE_CACHE_SIZE)(Scope.parse)
 
 
-def _shared(value: Any) -> Any:
+def _interned(value: Any) -> Any:
     """
-    Return ``value`` with strings that are one object wherever they are equal.
+    Return ``value`` with its strings interned.
 
-    Tables are changed in place, by equal strings: a copy of each would leave holes
-    in the heap as large as what sharing saves.
+    Strings in tables are replaced in place. Copying the tables would fragment the heap
+    by as much memory as interning saves.
     """
     if isinstance(value, str):
         return sys.intern(value)
     if isinstance(value, dict):
         for key, item in value.items():
-            value[key] = _shared(item)
+            value[key] = _interned(item)
     return value
 
 
-def _agree(one: str, other: str) -> bool:
-    return not one or not other or one == other
+def _is_compatible(first: str, second: str) -> bool:
+    return not first or not second or first == second
--- a/packages/settings/src/amaranthtally/settings/view.py
+++ b/packages/settings/src/amaranthtally/settings/view.py
@@ -1,4 +1,4 @@
-"""What the daemon reads from a tree: accounts, pipelines, endpoints."""
+"""Look-ups for the daemon in a settings tree: accounts, endpoints and values."""
 
 from hashlib import sha256
 from typing import Any
@@ -16,12 +16,12 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the digest under which a client account's key is kept."""
+    """Return the digest by which the tree stores a client account's key."""
     return sha256(key.encode()).hexdigest()
 
 
 class SettingsView:
-    """Look-ups in one tree, indexed once."""
+    """Look-ups in one tree, with indexes built at construction."""
 
     def __init__(self, tree: Tree) -> None:
         self._tree = tree
@@ -40,12 +40,12 @@
 
     @property
     def drained_hosts(self) -> frozenset[str]:
-        """Hosts that the operators drain."""
+        """Hosts that operators have drained."""
         return self._drained
 
     @property
     def tree(self) -> Tree:
-        """The tree that the view reads."""
+        """The tree on which the view is based."""
         return self._tree
 
     @property
@@ -55,7 +55,7 @@
 
     @property
     def endpoints(self) -> dict[str, dict[str, Any]]:
-        """Registered endpoints by id."""
+        """Registrations of endpoints by endpoint id."""
         return self._endpoints
 
     @property
@@ -64,13 +64,13 @@
         return list(dict.fromkeys(self._accounts.values()))
 
     def account_of(self, key: str) -> str | None:
-        """Return the client account that a bearer key names."""
+        """Return the name of the client account with this bearer key, or ``None``."""
         return self._accounts.get(hash_key(key))
 
     def value(self, scope: Scope, key: str) -> Any:
-        """Return the value that holds at ``scope``, or the key's own default."""
-        found = self._tree.resolve(scope, key)
-        if found is not None:
-            return found
-        known = find_key(key)
-        return known.default if known is not None else None
+        """Return the effective value at ``scope``, or else the default of the key."""
+        set_value = self._tree.resolve(scope, key)
+        if set_value is not None:
+            return set_value
+        registered = find_key(key)
+        return registered.default if registered is not None else None
--- a/tests/settings/test_tree.py
+++ b/tests/settings/test_tree.py
@@ -45,7 +45,7 @@
 def test_the_lowest_level_that_sets_a_key_holds(batches, scope, key):
     _, tree = make_changes(batches)
     expected = None
-    for place in reversed(scope.chain):
+    for place in reversed(scope.lookup_order):
         found = tree.get(place, key)
         expected = found if found is not None else expected
     assert tree.resolve(scope, key) == expected
@@ -57,7 +57,7 @@
 @given(LOGS, st.randoms(use_true_random=False), st.integers(0, 400))
 def test_changes_in_any_order_never_take_the_revision_back(batches, random, kept):
     changes, tree = make_changes(batches)
-    log = ChangeLog(kept_bytes=kept)
+    log = ChangeLog(max_bytes=kept)
     sent = changes * 2
     random.shuffle(sent)
     for change in sent:
@@ -72,13 +72,13 @@
 @given(LOGS, st.integers(0, 8), st.integers(0, 400))
 def test_a_peer_that_is_behind_gets_all_that_it_lacks(batches, known, kept):
     changes, tree = make_changes(batches)
-    ahead, behind = ChangeLog(kept_bytes=kept), ChangeLog()
+    ahead, behind = ChangeLog(max_bytes=kept), ChangeLog()
     ahead.apply_changes(changes)
     behind.apply_changes(changes[:known])
     behind.apply_delta(ahead.delta_since(behind.revision))
     assert behind.revision == tree.revision
     assert values(behind.tree) == values(tree)
-    old = ChangeLog(kept_bytes=0)
+    old = ChangeLog(max_bytes=0)
     old.apply_changes(changes[:known])
     assert not behind.apply_delta(old.delta_since(0))
     assert behind.revision == tree.revision
--- a/tests/unit/test_process_settings.py
+++ b/tests/unit/test_process_settings.py
@@ -44,5 +44,5 @@
     path = tmp_path / "sidecar.toml"
     if text is not None:
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
-    with pytest.raises(SettingsFileError, match=r"check the path|mend that line"):
+    with pytest.raises(SettingsFileError, match=r"check the path|correct that line"):
         load_sidecar_settings(path)
