--- a/packages/settings/src/amaranthtally/settings/change_log.py
+++ b/packages/settings/src/amaranthtally/settings/change_log.py
@@ -70,7 +70,7 @@
 
     @property
     def oldest(self) -> int:
-        """Number of the oldest retained change, or ``revision + 1`` if there is none."""
+        """Number of the oldest retained change; ``revision + 1`` if there is none."""
         return self._retained[0].number if self._retained else self.revision + 1
 
     def retained_changes(self) -> list[Change]:
--- a/packages/settings/src/amaranthtally/settings/process.py
+++ b/packages/settings/src/amaranthtally/settings/process.py
@@ -61,7 +61,7 @@
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
     """
-    Settings of a gateway: an entry on the users' platform that calls endpoints directly.
+    Settings of a gateway, an entry on the users' platform that calls endpoints itself.
 
     Addresses are ``ip:port``; times are in seconds. ``regions`` maps data centres to
     regions. ``stop_grace`` is the time that a process may take to stop. ``retry_ratio``
--- a/packages/settings/src/amaranthtally/settings/proposal.py
+++ b/packages/settings/src/amaranthtally/settings/proposal.py
@@ -21,8 +21,9 @@
     """
     A batch of operations that is committed atomically.
 
-    ``revision`` is the revision on which the operator based the proposal; it defaults to
-    the newest. ``id`` identifies the change, so that a repeated proposal is recognised.
+    ``revision`` is the revision on which the operator based the proposal, and defaults
+    to the newest. ``id`` identifies the change, so that a repeated proposal is
+    recognised.
     """
 
     who: str
