--- a/packages/settings/src/amaranthtally/settings/catalogue.py
+++ b/packages/settings/src/amaranthtally/settings/catalogue.py
@@ -6,13 +6,13 @@
 from amaranthtally.settings.kinds import (
     EndpointRegistration,
     boolean,
+    integer,
     model,
     name,
     names,
     number,
     table,
     text,
-    integer,
 )
 from amaranthtally.settings.tree import Level
 
--- a/packages/settings/src/amaranthtally/settings/change_log.py
+++ b/packages/settings/src/amaranthtally/settings/change_log.py
@@ -29,8 +29,8 @@
     """
     The settings that a peer is missing: encoded changes, oldest first.
 
-    If some of these changes are no longer retained, ``snapshot`` holds the whole encoded
-    tree instead.
+    If some of these changes are no longer retained, ``snapshot`` holds the encoded tree
+    instead.
     """
 
     revision: int
--- a/packages/settings/src/amaranthtally/settings/tree.py
+++ b/packages/settings/src/amaranthtally/settings/tree.py
@@ -151,7 +151,7 @@
         return self._values.get((scope, key))
 
     def resolve(self, scope: Scope, key: str) -> Any:
-        """Return the effective value at ``scope``, set there or inherited, or ``None``."""
+        """Return the value set at ``scope`` or inherited by it, or ``None``."""
         for source in scope.lookup_order:
             value = self._values.get((source, key))
             if value is not None:
--- a/tests/lifecycle/model_support.py
+++ b/tests/lifecycle/model_support.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from tests.settings.helpers import admin, propose, set_value
+from tests.settings.helpers import get_admin, propose, set_value
 from tests.support import plan
 
 OLD, NEW = "assessment-7b@1", "assessment-7b+claims@2"
@@ -57,7 +57,7 @@
 
 
 async def rows(deployment):
-    return (await admin(deployment, "endpoints"))["endpoints"]
+    return (await get_admin(deployment, "endpoints"))["endpoints"]
 
 
 async def engine_state(deployment, pair):
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -18,7 +18,7 @@
 from tests.at_most_once.test_handover import place_orders, repeat_all
 from tests.lifecycle.model_support import DEADLINE_MS, by_model, model_plan
 from tests.lifecycle.support import log_lines
-from tests.settings.helpers import admin, propose, set_value
+from tests.settings.helpers import get_admin, propose, set_value
 from tests.support import run_async
 
 NAME = re.compile(r" name=(\S+) .*port=(\d+) http=(\d+)")
@@ -86,7 +86,7 @@
 async def wait_taking(deployment, number, endpoints):
     """Return once an entry has heard endpoints say that they take work."""
     while True:
-        rows = (await admin(deployment, "endpoints", number))["endpoints"]
+        rows = (await get_admin(deployment, "endpoints", number))["endpoints"]
         taking = {row["id"] for row in rows if row["heard"] and not row["leaving"]}
         if endpoints <= taking:
             return
--- a/tests/settings/fake_store.py
+++ b/tests/settings/fake_store.py
@@ -1,4 +1,4 @@
-"""A key-value store in memory whose calls fail as a test draws it."""
+"""An in-memory key-value store with faults injected from a given sequence."""
 
 import asyncio
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Late:
+class DelayedWrite:
     calls_left: int
     key: str
     value: bytes
@@ -31,7 +31,12 @@
 
 
 class FakeStore:
-    """Shared state; ``faults`` and ``steps`` are used up in turn, then all is well."""
+    """
+    A store for several writers.
+
+    Calls take faults and steps from the end of the lists ``faults`` and ``steps``. Once
+    the lists are empty, calls succeed without delay.
+    """
 
     def __init__(self, faults=(), steps=()):
         self.items = {}
@@ -39,69 +44,69 @@
         self.calls = 0
         self.faults = list(faults)
         self.steps = list(steps)
-        self.late = []
+        self.delayed = []
 
-    async def turn(self):
-        """Let other writers run, and apply late writes that are due."""
+    async def run_others(self):
+        """Yield to other writers, then apply the delayed writes that are due."""
         self.calls += 1
         for _ in range(self.steps.pop() if self.steps else 0):
             await asyncio.sleep(0)
-        for late in list(self.late):
-            late.calls_left -= 1
-            if late.calls_left <= 0:
-                self.late.remove(late)
-                self.swap(late.key, late.value, late.index)
+        for delayed in list(self.delayed):
+            delayed.calls_left -= 1
+            if delayed.calls_left <= 0:
+                self.delayed.remove(delayed)
+                self.apply_swap(delayed.key, delayed.value, delayed.index)
 
-    def fault(self):
+    def next_fault(self):
         return self.faults.pop() if self.faults else Fault.NONE
 
-    def swap(self, key, value, index):
-        held = self.items.get(key)
-        if index != (held.index if held else 0):
+    def apply_swap(self, key, value, index):
+        current = self.items.get(key)
+        if index != (current.index if current else 0):
             return False
         self.index += 1
         self.items[key] = KeyValueEntry(key, value, self.index)
         return True
 
-    # The client's calls
+    # Methods of KeyValueClient
 
     async def get(self, key):
-        await self.turn()
-        if self.fault() is not Fault.NONE:
-            return Err(PlatformUnavailable("drawn"))
+        await self.run_others()
+        if self.next_fault() is not Fault.NONE:
+            return Err(PlatformUnavailable("injected fault"))
         return Ok(self.items.get(key))
 
     async def list(self, prefix):
-        await self.turn()
-        if self.fault() is not Fault.NONE:
-            return Err(PlatformUnavailable("drawn"))
-        found = sorted(k for k in self.items if k.startswith(prefix))
-        return Ok(Listing(self.index, tuple(self.items[k] for k in found)))
+        await self.run_others()
+        if self.next_fault() is not Fault.NONE:
+            return Err(PlatformUnavailable("injected fault"))
+        keys = sorted(k for k in self.items if k.startswith(prefix))
+        return Ok(Listing(self.index, tuple(self.items[k] for k in keys)))
 
     async def watch(self, key, index, wait_s):
-        found = await self.get(key)
-        return found.map(
+        result = await self.get(key)
+        return result.map(
             lambda e: Listing(e.index if e else self.index, (e,) if e else ())
         )
 
     async def compare_and_swap(self, key, value, index):
-        await self.turn()
-        fault = self.fault()
+        await self.run_others()
+        fault = self.next_fault()
         if fault is Fault.DOWN:
-            return Err(PlatformUnavailable("drawn"))
+            return Err(PlatformUnavailable("injected fault"))
         if fault is Fault.LATE:
-            self.late.append(Late(5, key, value, index))
+            self.delayed.append(DelayedWrite(5, key, value, index))
         if fault in (Fault.LATE, Fault.LOST_BEFORE):
-            return Err(PlatformOutcomeUnknown("drawn"))
-        done = self.swap(key, value, index)
+            return Err(PlatformOutcomeUnknown("injected fault"))
+        swapped = self.apply_swap(key, value, index)
         if fault is Fault.LOST_AFTER:
-            return Err(PlatformOutcomeUnknown("drawn"))
-        return Ok(done)
+            return Err(PlatformOutcomeUnknown("injected fault"))
+        return Ok(swapped)
 
     async def delete_prefix(self, prefix):
-        await self.turn()
-        if self.fault() is not Fault.NONE:
-            return Err(PlatformUnavailable("drawn"))
+        await self.run_others()
+        if self.next_fault() is not Fault.NONE:
+            return Err(PlatformUnavailable("injected fault"))
         for key in [k for k in self.items if k.startswith(prefix)]:
             del self.items[key]
         return Ok(None)
--- a/tests/settings/helpers.py
+++ b/tests/settings/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of settings with real processes share."""
+"""Helpers for tests of settings with real processes."""
 
 import asyncio
 import re
@@ -10,14 +10,14 @@
 
 HEADERS = {"Authorization": f"Bearer {ADMIN_KEY}"}
 REVISION = re.compile(r"amaranthtally_settings_revision\S* (\d+)")
-POLL_S = 0.05
-WAIT_S = 40.0
+POLL_INTERVAL_S = 0.05
+REVISION_TIMEOUT_S = 40.0
 CHUNK = 65_536
 
 
 def small_plan(**knobs):
-    """One pipeline of two stages over two pools, one of them an engine."""
-    whole = plan()
+    """Return a plan with a pipeline of two stages, one of them run by model engines."""
+    base_plan = plan()
     pools = [
         Pool("encoder", "encoder", 3),
         Pool("assessment", "engine", 3, knobs={"token_time": 0.002, **knobs}),
@@ -32,20 +32,25 @@
         }
     }
     return DeploymentPlan(
-        "small", whole.latency_ms, whole.regions, pools, whole.accounts, settings
+        "small",
+        base_plan.latency_ms,
+        base_plan.regions,
+        pools,
+        base_plan.accounts,
+        settings,
     )
 
 
 async def propose(deployment, ops, entry=0, **fields):
-    """Send a proposal; return the status and the document."""
+    """Send a proposal to an entry; return the HTTP status and the JSON document."""
     body = {"who": "test", "why": "test", "ops": ops, **fields}
     url = deployment.admin_url(entry) + "/admin/v1/changes"
     async with deployment.http.post(url, json=body, headers=HEADERS) as response:
         return response.status, await response.json(content_type=None)
 
 
-async def admin(deployment, path, entry=0):
-    """Read from the administration API."""
+async def get_admin(deployment, path, entry=0):
+    """Get a document from the administration API of an entry."""
     url = f"{deployment.admin_url(entry)}/admin/v1/{path}"
     async with deployment.http.get(url, headers=HEADERS) as response:
         assert response.status == 200, await response.text()
@@ -57,48 +62,52 @@
 
 
 async def revision_at(deployment, port):
-    """Return the revision in force in the process whose health port this is."""
+    """Return the revision in force in the process that serves metrics at ``port``."""
     url = f"http://127.0.0.1:{port}/metrics"
     async with deployment.http.get(url) as response:
-        found = REVISION.search(await response.text())
-        return int(found.group(1)) if found else 0
+        match = REVISION.search(await response.text())
+        return int(match.group(1)) if match else 0
 
 
-async def wait_everywhere(deployment, revision):
-    """Return once every entry and sidecar has the revision in force."""
+async def wait_for_revision_everywhere(deployment, revision):
+    """Wait until the revision is in force in every entry and sidecar."""
     ports = [entry.ports["port"] for entry in deployment.entries]
     ports += [pair.sidecar.ports["http"] for pair in deployment.endpoints.values()]
-    await asyncio.gather(*(wait_at(deployment, port, revision) for port in ports))
+    await asyncio.gather(
+        *(wait_for_revision(deployment, port, revision) for port in ports)
+    )
 
 
-async def wait_at(deployment, port, revision):
-    async with asyncio.timeout(WAIT_S):
+async def wait_for_revision(deployment, port, revision):
+    async with asyncio.timeout(REVISION_TIMEOUT_S):
         while await revision_at(deployment, port) < revision:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def counts(deployment):
-    """Return the platform's calls by caller and kind."""
+async def platform_call_counts(deployment):
+    """Return the number of calls to the platform by caller and kind."""
     async with deployment.http.get(deployment.platform_url + "/_counts") as response:
         return await response.json()
 
 
 async def restart_sidecar(deployment, pair):
-    """Kill a sidecar and start it again at its address, with nothing in memory."""
+    """Kill a sidecar and start it again at the same address, without any state."""
     await pair.sidecar.kill()
     pair.sidecar = await deployment.start_daemon("sidecar", pair.id, pair.sidecar_file)
 
 
 async def start_second_sidecar(deployment, pair):
-    """Start another sidecar of an endpoint while the old one keeps its addresses."""
-    own = {key: deployment.own_address() for key in ("wire_address", "http_address")}
-    settings = tomllib.loads(pair.sidecar_file.read_text()) | own
+    """Start a second sidecar of an endpoint on new addresses while the first runs."""
+    addresses = {
+        key: deployment.own_address() for key in ("wire_address", "http_address")
+    }
+    settings = tomllib.loads(pair.sidecar_file.read_text()) | addresses
     file = deployment.write_settings(pair.id, settings)
     pair.sidecar = await deployment.start_daemon("sidecar", pair.id, file)
 
 
 async def restart_entry(deployment, number, **overrides):
-    """Kill an entry and start it again."""
+    """Kill an entry and start it again, with changed settings if given."""
     entry = deployment.entries[number]
     await entry.kill()
     file = deployment.entry_files[number]
@@ -110,50 +119,50 @@
 
 
 class Relay:
-    """Carries TCP to a port until it is cut."""
+    """Forwards TCP connections to a port; can simulate a network failure."""
 
     def __init__(self, target):
         self.target = target
         self.port = 0
-        self._cut = False
+        self._is_cut = False
         self._tasks = set()
 
     def cut(self):
-        """Break every connection and refuse new ones."""
-        self._cut = True
+        """Abort all connections and close new ones immediately."""
+        self._is_cut = True
         for task in list(self._tasks):
             task.cancel()
 
-    def mend(self):
-        """Carry connections again."""
-        self._cut = False
+    def restore(self):
+        """Forward new connections again."""
+        self._is_cut = False
 
-    async def carry(self, reader, writer):
+    async def forward(self, reader, writer):
         self._tasks.add(asyncio.current_task())
         try:
-            if not self._cut:
-                out = await asyncio.open_connection("127.0.0.1", self.target)
-                await self._both_ways(reader, writer, *out)
+            if not self._is_cut:
+                target_streams = await asyncio.open_connection("127.0.0.1", self.target)
+                await self._forward_both_ways(reader, writer, *target_streams)
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             self._tasks.discard(asyncio.current_task())
             writer.transport.abort()
 
-    async def _both_ways(self, reader, writer, reader_out, writer_out):
-        ways = [
-            asyncio.create_task(pump(reader, writer_out)),
-            asyncio.create_task(pump(reader_out, writer)),
+    async def _forward_both_ways(self, reader, writer, reader_out, writer_out):
+        directions = [
+            asyncio.create_task(copy_stream(reader, writer_out)),
+            asyncio.create_task(copy_stream(reader_out, writer)),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(directions, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
+            for direction in directions:
+                direction.cancel()
             writer_out.transport.abort()
 
 
-async def pump(reader, writer):
+async def copy_stream(reader, writer):
     with suppress(OSError):
         while data := await reader.read(CHUNK):
             writer.write(data)
@@ -162,9 +171,9 @@
 
 @asynccontextmanager
 async def open_relay(target):
-    """Open a relay on a port that the kernel gives."""
+    """Open a relay on a port chosen by the kernel."""
     relay = Relay(target)
-    server = await asyncio.start_server(relay.carry, "127.0.0.1", 0)
+    server = await asyncio.start_server(relay.forward, "127.0.0.1", 0)
     relay.port = server.sockets[0].getsockname()[1]
     try:
         yield relay
--- a/tests/settings/test_checks.py
+++ b/tests/settings/test_checks.py
@@ -1,4 +1,4 @@
-"""What is refused at commit, with the key and the remedy."""
+"""Batches that are refused at commit, and the remedies in the messages."""
 
 import pytest
 
@@ -89,13 +89,13 @@
         ("pipeline:claims", MODEL, "small-1+", "BASE+ADAPTER"),
     ],
 )
-def test_a_wrong_change_is_refused_with_its_remedy(scope, key, value, remedy):
-    found = check_ops(tree(), [Op(scope, key, value)])
-    assert found
-    assert remedy in str(found[0])
+def test_invalid_change_is_refused_with_a_remedy(scope, key, value, remedy):
+    mistakes = check_ops(tree(), [Op(scope, key, value)])
+    assert mistakes
+    assert remedy in str(mistakes[0])
 
 
-def test_a_batch_is_judged_as_a_whole():
+def test_batch_is_checked_as_a_whole():
     batch = [
         Op("pipeline:claims", "stages", ["generate", "rerank"]),
         Op("firm", "endpoint.r-1", {**ENDPOINT, "pool": "rerank", "host": "host-2"}),
@@ -104,70 +104,72 @@
     assert check_ops(tree(), batch[:1]) != []
 
 
-def test_an_old_fault_does_not_block_its_remedy():
+def test_existing_fault_does_not_block_other_changes():
     broken = tree().apply([Op("firm", "endpoint.a-1", None)])
     assert check_ops(broken, [Op("firm", "deadline_ms", 9)]) == []
-    other = {**ENDPOINT, "pool": "other"}
-    assert check_ops(broken, [Op("firm", "endpoint.b-1", other)]) == []
+    other_pool = {**ENDPOINT, "pool": "other"}
+    assert check_ops(broken, [Op("firm", "endpoint.b-1", other_pool)]) == []
 
 
-def test_a_pipeline_is_not_switched_to_a_model_that_none_has_loaded():
+def test_pipeline_is_not_switched_to_a_model_that_is_not_loaded():
     """
-    Every assessment is refused for ten minutes: an operator registered a new version
-    and switched the pipeline to it, and no engine had loaded it yet.
+    Guards against switching a pipeline to a registered version that no engine has
+    loaded yet: every request would be refused until one has, which took ten minutes.
     """
     both = {**ENDPOINT, "models": ["small-1", "small-1@2"]}
     registered = tree().apply([Op("firm", "endpoint.a-1", both)])
     switch = [Op("pipeline:claims", MODEL, "small-1@2")]
-    early = check_ops(registered, switch, {"a-1": frozenset({"small-1"})})
-    assert "amaranthtally endpoints" in str(early) or "did you mean" in str(early)
+    not_loaded_yet = check_ops(registered, switch, {"a-1": frozenset({"small-1"})})
+    assert "amaranthtally endpoints" in str(not_loaded_yet) or "did you mean" in str(
+        not_loaded_yet
+    )
     served = {"a-1": frozenset({"small-1", "small-1@2"})}
     assert check_ops(registered, switch, served) == []
     switched = registered.apply(switch)
-    back = [Op("firm", "endpoint.a-1", {**ENDPOINT, "models": ["small-1"]})]
-    assert check_ops(switched, back, served) != []
+    unregister = [Op("firm", "endpoint.a-1", {**ENDPOINT, "models": ["small-1"]})]
+    assert check_ops(switched, unregister, served) != []
 
 
-def test_roles_change_for_a_part_of_a_pool_at_a_time():
+def test_roles_of_a_whole_pool_cannot_change_at_once():
     second = {**ENDPOINT, "host": "host-2"}
-    whole = tree().apply([Op("firm", "endpoint.a-2", second)])
-    one = Op("firm", "endpoint.a-1", {**ENDPOINT, "role": "decode"})
-    other = Op("firm", "endpoint.a-2", {**second, "role": "decode"})
-    assert check_ops(whole, [one]) == []
-    assert check_ops(whole, [one, other]) != []
+    two_endpoints = tree().apply([Op("firm", "endpoint.a-2", second)])
+    first_to_decode = Op("firm", "endpoint.a-1", {**ENDPOINT, "role": "decode"})
+    second_to_decode = Op("firm", "endpoint.a-2", {**second, "role": "decode"})
+    assert check_ops(two_endpoints, [first_to_decode]) == []
+    assert check_ops(two_endpoints, [first_to_decode, second_to_decode]) != []
 
 
 @pytest.mark.parametrize("text", ["m", "m@2", "m+a", "m-7b+a.x@2024-01"])
-def test_a_reference_to_a_model_has_one_spelling(text):
+def test_model_reference_round_trips(text):
     assert str(ModelReference.parse(text)) == text
 
 
 @pytest.mark.parametrize("text", ["", "@2", "m@", "m+", "m+@2", "m@2+a", "m a", "M"])
-def test_a_wrong_reference_is_refused_with_its_remedy(text):
+def test_invalid_model_reference_is_refused_with_a_remedy(text):
     with pytest.raises(ValueError, match="write BASE"):
         ModelReference.parse(text)
 
 
-def test_a_model_is_needed_where_no_other_endpoint_could_answer():
+def test_model_is_required_if_no_other_endpoint_offers_it():
     assert required_models(tree(), "a-1") == {"small-1"}
-    bare = {**ENDPOINT, "models": ["other"]}
-    assert required_models(tree().apply([Op("firm", "endpoint.a-1", bare)]), "a-1") == {
-        "small-1"
-    }
+    other_model = {**ENDPOINT, "models": ["other"]}
+    assert required_models(
+        tree().apply([Op("firm", "endpoint.a-1", other_model)]), "a-1"
+    ) == {"small-1"}
     second = {**ENDPOINT, "host": "host-2"}
-    two = tree().apply([Op("firm", "endpoint.a-2", second)])
-    assert required_models(two, "a-1") == set()
-    drained = two.apply([Op("firm", "drain.host-2", True)])
+    two_hosts = tree().apply([Op("firm", "endpoint.a-2", second)])
+    assert required_models(two_hosts, "a-1") == set()
+    drained = two_hosts.apply([Op("firm", "drain.host-2", True)])
     assert required_models(drained, "a-1") == {"small-1"}
 
 
-def test_every_key_has_a_doc_and_a_default_of_its_kind():
+def test_every_key_has_a_doc_and_a_valid_default():
     for key in known_keys():
         assert key.doc
         if key.default not in (None, ""):
-            scope = next(s for s in (FIRM, ACCOUNT, PIPELINE) if ok(key, s))
+            scope = next(s for s in (FIRM, ACCOUNT, PIPELINE) if may_be_set(key, s))
             assert key.mistake(scope, key.default) == ""
 
 
-def ok(key, scope):
+def may_be_set(key, scope):
     return not key.placement.mistake(scope)
--- a/tests/settings/test_command_line.py
+++ b/tests/settings/test_command_line.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a running deployment."""
+"""The command line for operators, run against a deployment."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 REASON = ("--reason", "test")
 
 
-async def run(deployment, *words, key=ADMIN_KEY, url=None):
+async def run_cli(deployment, *arguments, key=ADMIN_KEY, url=None):
     """Run a command; return its exit code, output and error output."""
     environment = {
         "AMARANTHTALLY_ADMIN_URL": url or deployment.admin_url(),
@@ -26,70 +26,80 @@
         sys.executable,
         "-m",
         "amaranthtally.operator.main",
-        *map(str, words),
+        *map(str, arguments),
         env=environment,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
-    out, err = await child.communicate()
-    return child.returncode, out.decode(), err.decode()
+    output, errors = await child.communicate()
+    return child.returncode, output.decode(), errors.decode()
 
 
-def test_a_day_of_an_operator(tmp_path):
+def test_usual_operator_workflow(tmp_path):
     async def scenario():
         async with open_deployment(small_plan(), servers=2) as deployment:
-            code, out, _ = await run(
+            code, output, _ = await run_cli(
                 deployment, "settings", "set", "deadline_ms", "9000", *REASON
             )
             assert code == 0
-            assert "change 2" in out
-            assert "by ana" in out
+            assert "change 2" in output
+            assert "by ana" in output
 
             scope = ("--scope", "pipeline:assessment")
-            code, out, _ = await run(
+            code, output, _ = await run_cli(
                 deployment, "settings", "explain", "deadline_ms", *scope
             )
             assert code == 0
-            assert "pipeline:assessment" in out
-            assert "overridden" in out
+            assert "pipeline:assessment" in output
+            assert "overridden" in output
 
             file = tmp_path / "change.toml"
             file.write_text(
                 '["pipeline:assessment"]\nstage.generate.model = "small-1"\n'
                 "[firm]\ndeadline_ms = 9000\n"
             )
-            code, out, _ = await run(deployment, "settings", "diff", file)
+            code, output, _ = await run_cli(deployment, "settings", "diff", file)
             assert code == 6
-            assert "small-1" in out
-            assert "9000" not in out
-            assert (await run(deployment, "settings", "apply", file, *REASON))[0] == 0
-            assert (await run(deployment, "settings", "diff", file))[0] == 0
-
-            code, out, _ = await run(deployment, "settings", "undo", 3, *REASON)
+            assert "small-1" in output
+            assert "9000" not in output
+            assert (await run_cli(deployment, "settings", "apply", file, *REASON))[
+                0
+            ] == 0
+            assert (await run_cli(deployment, "settings", "diff", file))[0] == 0
+
+            code, output, _ = await run_cli(deployment, "settings", "undo", 3, *REASON)
             assert code == 0
-            assert "change 4" in out
-            code, out, _ = await run(deployment, "settings", "history", "deadline_ms")
-            assert out.count("9000") == 1
-            code, out, _ = await run(deployment, "audit", "--json")
-            trail = json.loads(out)["changes"]
+            assert "change 4" in output
+            code, output, _ = await run_cli(
+                deployment, "settings", "history", "deadline_ms"
+            )
+            assert output.count("9000") == 1
+            code, output, _ = await run_cli(deployment, "audit", "--json")
+            trail = json.loads(output)["changes"]
             assert [change["number"] for change in trail] == [4, 3, 2, 1]
             assert trail[0]["why"] == "test"
 
-            code, out, _ = await run(deployment, "drain", "host-encoder-1", *REASON)
+            code, output, _ = await run_cli(
+                deployment, "drain", "host-encoder-1", *REASON
+            )
             assert code == 0
-            code, out, _ = await run(deployment, "endpoints")
-            assert "draining" in out
-            assert (await run(deployment, "undrain", "host-encoder-1", *REASON))[0] == 0
-            code, out, _ = await run(deployment, "status")
-            assert "connected" in out
-            code, out, _ = await run(deployment, "request", "assessment", "hello")
+            code, output, _ = await run_cli(deployment, "endpoints")
+            assert "draining" in output
+            assert (await run_cli(deployment, "undrain", "host-encoder-1", *REASON))[
+                0
+            ] == 0
+            code, output, _ = await run_cli(deployment, "status")
+            assert "connected" in output
+            code, output, _ = await run_cli(
+                deployment, "request", "assessment", "hello"
+            )
             assert code == 0
-            assert "generate" in out
+            assert "generate" in output
 
     run_async(scenario())
 
 
-def test_mistakes_come_with_their_remedy_and_an_exit_code(tmp_path):
+def test_errors_have_a_remedy_and_an_exit_code(tmp_path):
     async def scenario():
         async with open_deployment(small_plan(), servers=1) as deployment:
             file = tmp_path / "wrong.toml"
@@ -106,30 +116,36 @@
                 (("drain", "host-encodr-1", *REASON), 1, "'host-encoder-1'"),
                 (("request", "nothing", "x"), 1, "not_run"),
             ]
-            for words, wanted, remedy in cases:
-                code, _, err = await run(deployment, *words)
-                assert (code, remedy in err) == (wanted, True), (words, code, err)
-            code, _, err = await run(deployment, "status", key="x" * 20)
-            assert (code, ADMIN_KEY in err) == (1, False)
-            code, _, err = await run(deployment, "status", url="http://127.0.0.1:9")
+            for arguments, expected_code, remedy in cases:
+                code, _, errors = await run_cli(deployment, *arguments)
+                assert (code, remedy in errors) == (expected_code, True), (
+                    arguments,
+                    code,
+                    errors,
+                )
+            code, _, errors = await run_cli(deployment, "status", key="x" * 20)
+            assert (code, ADMIN_KEY in errors) == (1, False)
+            code, _, errors = await run_cli(
+                deployment, "status", url="http://127.0.0.1:9"
+            )
             assert code == 4
-            assert "another entry" in err
+            assert "another entry" in errors
             await deployment.set_knobs(deployment.platform, outage=True)
-            words = ("settings", "set", "deadline_ms", 9, *REASON)
-            code, _, err = await run(deployment, *words)
+            arguments = ("settings", "set", "deadline_ms", 9, *REASON)
+            code, _, errors = await run_cli(deployment, *arguments)
             assert code == 4
-            assert "nothing was written" in err
+            assert "nothing was written" in errors
 
     run_async(scenario())
 
 
-def test_no_log_holds_a_key():
+def test_logs_contain_no_keys():
     async def scenario():
         async with open_deployment(small_plan(), servers=1) as deployment:
             account = deployment.plan.accounts[0].key
-            await run(deployment, "status")
-            await run(deployment, "status", key="wrong-key-0001")
-            await run(deployment, "request", "assessment", "hello")
+            await run_cli(deployment, "status")
+            await run_cli(deployment, "status", key="wrong-key-0001")
+            await run_cli(deployment, "request", "assessment", "hello")
             for process in (*deployment.entries, deployment.platform):
                 text = "\n".join(process.lines)
                 for secret in (ADMIN_KEY, account, "wrong-key-0001"):
@@ -138,7 +154,7 @@
     run_async(scenario())
 
 
-def test_the_served_document_describes_every_route():
+def test_openapi_document_describes_every_route():
     async def scenario():
         async with open_deployment(small_plan(), servers=1) as deployment:
             url = deployment.admin_url() + "/admin/v1/openapi.json"
@@ -149,15 +165,15 @@
             for methods in document["paths"].values():
                 for operation in methods.values():
                     assert operation["summary"]
-                    answers = operation["responses"]["200"]["content"]
-                    ref = answers["application/json"]["schema"]["$ref"]
+                    content = operation["responses"]["200"]["content"]
+                    ref = content["application/json"]["schema"]["$ref"]
                     assert ref.rsplit("/", 1)[1] in schemas
 
     run_async(scenario())
 
 
 @pytest.mark.parametrize("module", ["cyclopts", "rich", "amaranthtally.operator"])
-def test_a_daemon_carries_none_of_the_command_line(module):
+def test_daemon_does_not_import_the_command_line(module):
     async def scenario():
         code = (
             "import sys, amaranthtally.daemon.entry.service, "
--- a/tests/settings/test_defaults.py
+++ b/tests/settings/test_defaults.py
@@ -1,4 +1,4 @@
-"""What `explain` calls the default is what the policy decides by."""
+"""Defaults shown by ``explain`` are the defaults that the policy uses."""
 
 from amaranthtally.daemon.entry.pipelines import PipelineResolver, PolicySettingsBuilder
 from amaranthtally.policy import PolicySettings
@@ -12,11 +12,11 @@
     return find_key(name).default
 
 
-def test_unset_keys_have_the_default_that_operators_are_told():
+def test_unset_keys_have_the_documented_default():
     """
-    An operator reads that requests may use 0.8 of their deadline and wonders why
-    some are refused. Entries admitted by 0.75: the default stood in two places,
-    and only one of them was changed.
+    Guards against defaults that are defined twice and changed in one place only:
+    `explain` showed an admission headroom of 0.8 of the deadline, while entries
+    admitted requests by 0.75.
     """
     change = Change(1, "c1", "ana", "", "", [Op("pipeline:p", "stages", ["s"])])
     view = SettingsView(Tree().fold(change))
--- a/tests/settings/test_in_force.py
+++ b/tests/settings/test_in_force.py
@@ -1,4 +1,4 @@
-"""A change comes into force on every process, and never goes back."""
+"""Changes come into force in every process, and revisions never decrease."""
 
 import asyncio
 import signal
@@ -7,45 +7,45 @@
 from amaranthtally.standins.deployment import open_deployment
 from tests.settings.helpers import (
     HEADERS,
-    admin,
-    counts,
+    get_admin,
     open_relay,
+    platform_call_counts,
     propose,
     restart_entry,
     restart_sidecar,
     revision_at,
     set_value,
     small_plan,
-    wait_at,
-    wait_everywhere,
+    wait_for_revision,
+    wait_for_revision_everywhere,
 )
 from tests.support import run_async
 
-# A log of 220 changes must not be read one change at a time.
-MOST_READS = 6
+# An entry that starts after 220 changes must not read them one at a time.
+MAX_READS = 6
 
 
-def test_sidecars_that_nobody_calls_get_every_change():
+def test_idle_sidecars_receive_every_change():
     """
-    An operator changes a limit. Sidecars that serve no request at the time never
-    hear of it: nobody calls them, and only calls carried revisions. After a
-    restart of the entries without the platform they would hand out the old one.
+    Guards against sidecars that miss a change because they receive no calls, when
+    only calls carry revisions. If entries restarted during a platform outage, such
+    sidecars would give them outdated settings.
     """
 
     async def scenario():
         async with open_deployment(small_plan(), entries=2) as deployment:
             status, change = await propose(deployment, [set_value("limit.rate", 50)], 1)
             assert status == 200
-            await wait_everywhere(deployment, change["number"])
+            await wait_for_revision_everywhere(deployment, change["number"])
 
     run_async(scenario())
 
 
-def test_an_entry_starts_while_the_platform_is_down():
+def test_entry_starts_during_a_platform_outage():
     """
-    The platform is down and an entry's host is replaced. The new entry has no
-    settings of its own; ready without them it would refuse every caller, and with
-    a lagging peer's it would take a change back. It asks all its peers first.
+    Guards against a new entry that starts during a platform outage and becomes ready
+    without settings, which would refuse all requests, or with those of a lagging peer,
+    which would revert a change. It must query all its peers first.
     """
 
     async def scenario():
@@ -53,28 +53,28 @@
             paused = deployment.pool("encoder")[0]
             paused.sidecar.send(signal.SIGSTOP)
             _, change = await propose(deployment, [set_value("limit.share", 2)])
-            others = [p for p in deployment.endpoints.values() if p is not paused]
-            for pair in others:
+            running = [p for p in deployment.endpoints.values() if p is not paused]
+            for pair in running:
                 port = pair.sidecar.ports["http"]
-                await wait_at(deployment, port, change["number"])
+                await wait_for_revision(deployment, port, change["number"])
             await deployment.set_knobs(deployment.platform, outage=True)
             peers = [pair.address for pair in deployment.endpoints.values()]
             entry = await deployment.start_entry(peers=peers)
             await deployment.wait_ready(1)
             assert await revision_at(deployment, entry.ports["port"]) == 2
             paused.sidecar.send(signal.SIGCONT)
-            answered = await deployment.call("assessment", "hello", entry=1)
-            assert answered.status == 200
-            await wait_everywhere(deployment, change["number"])
+            response = await deployment.call("assessment", "hello", entry=1)
+            assert response.status == 200
+            await wait_for_revision_everywhere(deployment, change["number"])
 
     run_async(scenario())
 
 
-def test_an_entry_without_settings_from_anywhere_is_not_ready():
+def test_entry_without_settings_is_not_ready():
     """
-    Platform and peers are all away when an entry starts. If it said "ready", the
-    balancer would send it callers, each of whom would be told that no such
-    pipeline exists.
+    Guards against an entry that reports ready while neither the platform nor a peer is
+    reachable. The load balancer would send it requests, and each would fail with an
+    unknown pipeline.
     """
 
     async def scenario():
@@ -83,8 +83,8 @@
             await deployment.start_entry(peers=["127.0.0.1:9"])
             url = deployment.entry_url(1) + "/readyz"
             for _ in range(10):
-                async with deployment.http.get(url) as found:
-                    assert found.status == 503
+                async with deployment.http.get(url) as response:
+                    assert response.status == 503
                 await asyncio.sleep(0.1)
             await deployment.set_knobs(deployment.platform, outage=False)
             await deployment.wait_ready(1)
@@ -92,38 +92,38 @@
     run_async(scenario())
 
 
-def test_a_long_outage_stops_changes_and_nothing_else():
+def test_platform_outage_blocks_only_changes():
     """
-    The platform is away for long. Callers are served on; an operator's change is
-    refused with "nothing was written"; a sidecar that restarts meanwhile gets its
-    settings from the others. When the platform is back, changes go through.
+    During a long platform outage, requests are still served, changes are refused with
+    "nothing was written", and a sidecar that restarts gets its settings from peers.
+    After the outage, changes are accepted again.
     """
 
     async def scenario():
         async with open_deployment(small_plan(), entries=2) as deployment:
-            await wait_everywhere(deployment, 1)
+            await wait_for_revision_everywhere(deployment, 1)
             await deployment.set_knobs(deployment.platform, outage=True)
             status, problem = await propose(deployment, [set_value("limit.rate", 50)])
             assert status == 503
             assert "nothing was written" in problem["detail"]
             pair = deployment.pool("assessment")[1]
             await restart_sidecar(deployment, pair)
-            await wait_everywhere(deployment, 1)
-            answered = await deployment.call("assessment", "hello", entry=1)
-            assert answered.status == 200
-            assert (await admin(deployment, "status"))["platform"] == "lost"
+            await wait_for_revision_everywhere(deployment, 1)
+            response = await deployment.call("assessment", "hello", entry=1)
+            assert response.status == 200
+            assert (await get_admin(deployment, "status"))["platform"] == "lost"
             await deployment.set_knobs(deployment.platform, outage=False)
             status, change = await propose(deployment, [set_value("limit.rate", 50)])
             assert (status, change["number"]) == (200, 2)
-            await wait_everywhere(deployment, 2)
+            await wait_for_revision_everywhere(deployment, 2)
 
     run_async(scenario())
 
 
-def test_a_slow_platform_delays_changes_and_loses_none():
+def test_slow_platform_delays_changes_but_loses_none():
     """
-    Every call to the platform takes a second and a half. Changes are acknowledged
-    late; each one that was is in force everywhere, once, in the order told.
+    Every call to the platform takes 1.5 s. Changes are acknowledged late, but every
+    acknowledged change comes into force everywhere, once and in its acknowledged order.
     """
 
     async def scenario():
@@ -136,17 +136,18 @@
                 assert status == 200
                 numbers.append(change["number"])
             assert numbers == [2, 3]
-            await wait_everywhere(deployment, 3)
-            settings = await admin(deployment, "settings", 0)
+            await wait_for_revision_everywhere(deployment, 3)
+            settings = await get_admin(deployment, "settings", 0)
             assert set_value("limit.rate", 60) in settings["values"]
 
     run_async(scenario())
 
 
-def test_answers_of_the_platform_that_are_lost_make_no_second_change():
+def test_lost_platform_responses_cause_no_duplicate_change():
     """
-    The platform takes a write and its answer never comes. An operator told
-    "failed" would send the change again; the entry reads back whose change it is.
+    Guards against duplicate changes when the platform applies a write but its response
+    is lost. An operator who got an error would send the change again, so the entry
+    reads the log to find out whose change was written.
     """
 
     async def scenario():
@@ -154,16 +155,17 @@
             await deployment.set_knobs(deployment.platform, lose_answers=2)
             status, change = await propose(deployment, [set_value("limit.rate", 50)])
             assert (status, change["number"]) == (200, 2)
-            trail = await admin(deployment, "changes")
+            trail = await get_admin(deployment, "changes")
             assert [c["number"] for c in trail["changes"]] == [2, 1]
 
     run_async(scenario())
 
 
-def test_everything_restarts_at_once():
+def test_simultaneous_restart_reaches_the_newest_revision():
     """
-    Power comes back in every data centre at once: no process remembers anything.
-    All must come back to the newest change, not to the first one that they read.
+    Guards against stale settings after all processes have restarted at the same time
+    without any state, as after a power failure: each must reach the newest change and
+    not stop at the first settings that it reads.
     """
 
     async def scenario():
@@ -180,17 +182,18 @@
                 await deployment.wait_ready(number)
                 port = deployment.entries[number].ports["port"]
                 assert await revision_at(deployment, port) == 130
-            await wait_everywhere(deployment, 130)
-            answered = await deployment.call("assessment", "hello")
-            assert answered.status == 200
+            await wait_for_revision_everywhere(deployment, 130)
+            response = await deployment.call("assessment", "hello")
+            assert response.status == 200
 
     run_async(scenario())
 
 
-def test_a_restarted_entry_reads_the_snapshot_and_not_the_whole_log():
+def test_restarted_entry_reads_the_snapshot_instead_of_the_log():
     """
-    After thousands of changes an entry restarts. Reading the log change by change,
-    or whole at each change, it would use up the platform's reads for all others.
+    Guards against an entry that restarts after thousands of changes and reads the log
+    change by change, or all of it at each change: this would exhaust the platform's
+    read capacity for all other clients.
     """
 
     async def scenario():
@@ -200,24 +203,25 @@
             entry = await deployment.start_entry()
             await deployment.wait_ready(1)
             assert await revision_at(deployment, entry.ports["port"]) == 220
-            found = await counts(deployment)
-            assert found["entry-2 read"] <= MOST_READS
+            calls = await platform_call_counts(deployment)
+            assert calls["entry-2 read"] <= MAX_READS
             assert any("source=snapshot" in line for line in entry.lines)
             await propose(deployment, [set_value("limit.rate", 220)])
-            await wait_everywhere(deployment, 221)
-            found = await counts(deployment)
-            assert found["entry-2 read"] <= MOST_READS
-            assert 1 <= found["entry-2 watch"] <= 3
+            await wait_for_revision_everywhere(deployment, 221)
+            calls = await platform_call_counts(deployment)
+            assert calls["entry-2 read"] <= MAX_READS
+            assert 1 <= calls["entry-2 watch"] <= 3
 
     run_async(scenario())
 
 
-def test_two_groups_that_were_parted_join_again():
+def test_partitioned_groups_converge():
     """
-    A region loses the platform and every other region; in the other group an
-    operator changes a limit. The parted entry serves on by what it has and takes
-    no change. When only the links between hosts are back, it must move forward
-    to the newest revision, and nobody may go back to the older one.
+    A network partition cuts a region off from the platform and all other regions, and
+    an operator changes a limit outside. The isolated entry continues with its settings
+    and accepts no changes. Once the links between hosts are restored, before those to
+    the platform, it must reach the newest revision, and no process may revert to the
+    older one.
     """
 
     async def scenario():
@@ -242,7 +246,7 @@
                 for pair in deployment.endpoints.values()
             }
             await deployment.apply({"firm": tree})
-            await wait_everywhere(deployment, 2)
+            await wait_for_revision_everywhere(deployment, 2)
 
             for relay in (platform, *relays.values()):
                 relay.cut()
@@ -250,29 +254,30 @@
             assert status == 200
             status, _ = await propose(deployment, [set_value("limit.rate", 9)], 1)
             assert status == 503
-            parted = deployment.entries[1].ports["port"]
-            assert await revision_at(deployment, parted) == 2
+            isolated_port = deployment.entries[1].ports["port"]
+            assert await revision_at(deployment, isolated_port) == 2
 
             for relay in relays.values():
-                relay.mend()
-            await wait_everywhere(deployment, 3)
-            settings = await admin(deployment, "settings", 1)
+                relay.restore()
+            await wait_for_revision_everywhere(deployment, 3)
+            settings = await get_admin(deployment, "settings", 1)
             assert set_value("limit.rate", 50) in settings["values"]
-            platform.mend()
+            platform.restore()
             ops = [set_value("limit.rate", 70)]
             async with asyncio.timeout(30):
                 while (await propose(deployment, ops, 1))[0] != 200:
                     await asyncio.sleep(0.1)
-            await wait_everywhere(deployment, 4)
+            await wait_for_revision_everywhere(deployment, 4)
 
     run_async(scenario())
 
 
-def test_a_live_request_ends_under_the_revision_that_admitted_it():
+def test_request_completes_under_its_admission_revision():
     """
-    A long answer streams when an operator takes a stage out of its pipeline and
-    the endpoints of that stage out of the deployment. The request was accepted
-    with that stage: it must end whole, by it; only later ones go without.
+    Guards against a truncated response: while a request streams, an operator removes
+    the stage from the pipeline and its endpoints from the deployment. The request was
+    admitted with this stage and must complete with it; only later requests run
+    without it.
     """
 
     async def scenario():
@@ -297,17 +302,17 @@
             events = await live.text()
             assert "event: done" in events
             assert '"name":"generate"' in events
-            answered = await (await deployment.call("assessment", "hello")).json()
-            assert [stage["name"] for stage in answered["stages"]] == ["encode"]
+            response = await (await deployment.call("assessment", "hello")).json()
+            assert [stage["name"] for stage in response["stages"]] == ["encode"]
 
     run_async(scenario())
 
 
-def test_operators_who_race_learn_whose_change_came_first():
+def test_conflicting_operators_are_told_the_winning_change():
     """
-    Two operators look at the same revision and set the same key through two
-    entries. If both were told "done", one would believe in a value that is not
-    in force. A third one, who sets something else, must not be turned away.
+    Two operators set the same key through two entries, based on the same revision. If
+    both got a success response, one would assume a value that is not in force. A third
+    operator, who sets another key, must not be refused.
     """
 
     async def scenario():
@@ -322,21 +327,21 @@
                 )
                 for entry, rate in enumerate((50, 60))
             ]
-            other = [set_value("limit.share", 2)]
-            sent.append(propose(deployment, other, 0, revision=1))
+            other_key = [set_value("limit.share", 2)]
+            sent.append(propose(deployment, other_key, 0, revision=1))
             first, second, third = await asyncio.gather(*sent)
             assert sorted((first[0], second[0])) == [200, 409]
             assert third[0] == 200
-            won, lost = (first, second) if first[0] == 200 else (second, first)
-            conflict = lost[1]
-            assert conflict["winner"] == won[1]
-            assert conflict["difference"][0]["theirs"] == won[1]["ops"][0]["value"]
-            assert won[1]["who"] in conflict["detail"]
+            winner, loser = (first, second) if first[0] == 200 else (second, first)
+            conflict = loser[1]
+            assert conflict["winner"] == winner[1]
+            assert conflict["difference"][0]["theirs"] == winner[1]["ops"][0]["value"]
+            assert winner[1]["who"] in conflict["detail"]
 
     run_async(scenario())
 
 
-def test_undo_is_a_new_change_and_never_takes_back_a_later_one():
+def test_undo_is_a_new_change_and_never_reverts_a_later_one():
     async def scenario():
         async with open_deployment(small_plan(), servers=1) as deployment:
             await propose(deployment, [set_value("limit.rate", 50)])
@@ -360,7 +365,7 @@
     run_async(scenario())
 
 
-def test_a_change_that_breaks_a_pipeline_is_refused_and_nothing_is_written():
+def test_change_that_breaks_a_pipeline_is_refused_without_a_write():
     async def scenario():
         async with open_deployment(small_plan(), servers=1) as deployment:
             ops = [set_value("drain.host-encoder-1", True)]
@@ -368,6 +373,6 @@
             assert status == 422
             assert problem["mistakes"][0]["key"] == "stage.encode.pool"
             assert "undrain" in problem["detail"]
-            assert (await admin(deployment, "status"))["revision"] == 1
+            assert (await get_admin(deployment, "status"))["revision"] == 1
 
     run_async(scenario())
--- a/tests/settings/test_racing_writers.py
+++ b/tests/settings/test_racing_writers.py
@@ -1,4 +1,4 @@
-"""Racing writers over a store that loses answers and applies writes late."""
+"""Concurrent writers on a store that loses responses and delays writes."""
 
 import asyncio
 
@@ -28,7 +28,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pauses(monkeypatch):
+def without_pauses(monkeypatch):
     monkeypatch.setattr(change_store, "WRITE_PAUSE_S", 0)
     monkeypatch.setattr(committer, "HEAD_PAUSE_S", 0)
 
@@ -40,16 +40,16 @@
         changes, snapshots = ChangeStore(store), SnapshotStore(store)
         self.follower = LogFollower(changes, snapshots, self.state)
         self.committer = Committer(changes, snapshots, self.state, self.follower)
-        self.ended = {}
+        self.results = {}
 
-    async def write(self, places):
-        for number, (scope, key) in enumerate(places):
+    async def write(self, targets):
+        for number, (scope, key) in enumerate(targets):
             change_id = f"{self.name}-{number}"
             value = 1 + int(self.name)
             ops = [Op(scope, key, value)]
             base = self.state.revision
             proposal = Proposal(self.name, "race", ops, base, change_id)
-            self.ended[change_id] = await self.committer.commit(proposal)
+            self.results[change_id] = await self.committer.commit(proposal)
 
     async def catch_up(self):
         while isinstance(await self.follower._step(LogHead(0)), Err):
@@ -57,18 +57,18 @@
         await self.committer.close()
 
 
-def log_of(store):
+def read_log(store):
     keys = sorted(key for key in store.items if key.startswith("changes/"))
     return [decode_change(store.items[key].value) for key in keys]
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(PLANS, FAULTS, STEPS)
-def test_each_answer_to_a_writer_is_true(plans, faults, steps):
+def test_commit_results_match_the_log(plans, faults, steps):
     """
-    Operators race while the platform loses answers and applies writes late. One
-    told "committed" whose change is missing, or twice in the log, or one told
-    "refused" whose change comes into force, could not trust any answer.
+    Guards against wrong results of commits when the platform loses responses and delays
+    writes: a committed change that is missing from the log or in it twice, or a refused
+    one that comes into force.
     """
 
     async def scenario():
@@ -76,68 +76,70 @@
         writers = [Writer(store, str(n)) for n in range(len(plans))]
         await asyncio.gather(*(w.write(p) for w, p in zip(writers, plans, strict=True)))
         store.faults.clear()
-        while store.late:
-            await store.turn()
-        log = log_of(store)
+        while store.delayed:
+            await store.run_others()
+        log = read_log(store)
         assert [change.number for change in log] == list(range(1, len(log) + 1))
         ids = [change.id for change in log]
         assert len(ids) == len(set(ids))
         for writer in writers:
-            for change_id, ended in writer.ended.items():
-                check_answer(change_id, ended, ids, log)
+            for change_id, result in writer.results.items():
+                check_result(change_id, result, ids, log)
             await writer.catch_up()
             assert writer.state.revision == len(log)
-            assert writer.state.tree.items() == fold(log).items()
+            assert writer.state.tree.items() == apply_all(log).items()
 
     asyncio.run(scenario())
 
 
-def check_answer(change_id, ended, ids, log):
-    if isinstance(ended, Ok):
-        assert log[ended.ok_value.number - 1] == ended.ok_value
-    elif not isinstance(ended.err_value, PlatformOutcomeUnknown):
+def check_result(change_id, result, ids, log):
+    if isinstance(result, Ok):
+        assert log[result.ok_value.number - 1] == result.ok_value
+    elif not isinstance(result.err_value, PlatformOutcomeUnknown):
         assert change_id not in ids
-    if isinstance(ended, Err) and isinstance(ended.err_value, ChangeConflict):
-        assert ended.err_value.winner in log
+    if isinstance(result, Err) and isinstance(result.err_value, ChangeConflict):
+        assert result.err_value.winner in log
 
 
-def fold(log):
+def apply_all(log):
     tree = Tree()
     for change in log:
         tree = tree.fold(change)
     return tree
 
 
-def test_a_write_that_may_still_land_is_not_called_refused():
+def test_write_that_may_still_take_effect_is_not_refused():
     """
-    The platform takes a write and stalls; the entry reads back nothing, and its
-    second try meets an outage. Told "nothing was written", the operator sends the
-    change again, and finds the first one in force when the stall ends.
+    Guards against reporting "nothing was written" for a delayed write. The platform
+    accepts a write but applies it later; the entry doesn't find it in the log, and its
+    second attempt fails because of an outage. The operator would send the change again,
+    although the first write may still take effect.
     """
 
     async def scenario():
-        read_head, write, read_back, again = (
+        read_head, write, read_back, second_write = (
             Fault.NONE,
             Fault.LATE,
             Fault.NONE,
             Fault.DOWN,
         )
         down = [Fault.DOWN] * 10
-        store = FakeStore([*down, again, read_back, write, read_head])
+        store = FakeStore([*down, second_write, read_back, write, read_head])
         writer = Writer(store, "1")
         await writer.write([("firm", "deadline_ms")])
-        ended = writer.ended["1-0"]
-        assert isinstance(ended.err_value, PlatformOutcomeUnknown)
-        assert [change.id for change in log_of(store)] == ["1-0"]
+        result = writer.results["1-0"]
+        assert isinstance(result.err_value, PlatformOutcomeUnknown)
+        assert [change.id for change in read_log(store)] == ["1-0"]
 
     asyncio.run(scenario())
 
 
-def test_a_change_that_the_head_does_not_name_is_found():
+def test_change_missing_from_the_head_is_found():
     """
-    An operator's change is written, then the entry dies before the head names it.
-    Every watch stays silent, so the change would be in force nowhere until the
-    next one. A follower whose watch ends without news looks beyond the head.
+    Guards against a committed change that no process applies. If the entry dies after
+    it has written the change but before it has updated the head key, no watch reports
+    the change until the next one is committed. A follower whose watch times out
+    therefore reads past the head.
     """
 
     async def scenario():
@@ -157,19 +159,19 @@
     asyncio.run(scenario())
 
 
-def test_an_entry_cut_off_for_long_does_not_fork_the_log():
+def test_reconnected_entry_does_not_fork_the_log():
     """
-    An entry loses the platform for days; meanwhile the log grows and its old
-    changes are deleted. When the platform is back, an operator's change comes
-    before the entry has read on: written at the old number, which is free again,
-    it would be acknowledged and then be in force nowhere.
+    Guards against a fork of the log. While an entry is disconnected for days, the log
+    grows and its old changes are deleted. If the entry commits a change before it has
+    read the new ones, it could write under its old next number, which is free again;
+    the change would be acknowledged but never come into force.
     """
 
     async def scenario():
         store = FakeStore()
-        cut_off, writer = Writer(store, "1"), Writer(store, "2")
+        disconnected, writer = Writer(store, "1"), Writer(store, "2")
         await writer.write([("firm", "deadline_ms")] * 3)
-        await cut_off.catch_up()
+        await disconnected.catch_up()
         for number in range(4, 151):
             ops = [Op("firm", "deadline_ms", number)]
             await writer.committer.commit(Proposal("2", "", ops, None, f"x{number}"))
@@ -177,20 +179,23 @@
         for number in range(1, 100):
             del store.items[f"changes/{number:09}"]
         ops = [Op("firm", "limit.rate", 7)]
-        done = await cut_off.committer.commit(Proposal("1", "", ops, None, "late"))
-        assert done.ok_value.number == 151
-        assert cut_off.state.revision == 151
+        result = await disconnected.committer.commit(
+            Proposal("1", "", ops, None, "late")
+        )
+        assert result.ok_value.number == 151
+        assert disconnected.state.revision == 151
 
     asyncio.run(scenario())
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(FAULTS, FAULTS, STEPS)
-def test_a_snapshot_cut_off_or_raced_harms_nothing(first, second, steps):
+def test_interrupted_or_concurrent_snapshots_lose_no_settings(first, second, steps):
     """
-    Two entries write a snapshot at once while answers get lost; either is cut off
-    at any call. Whoever starts next must read a whole tree or none, and reach the
-    newest revision in both cases: a half-written one would show as lost settings.
+    Guards against losing settings through an incomplete snapshot: two entries write a
+    snapshot at the same time, responses are lost, and either may fail at any call. A
+    process that starts afterwards must read a complete tree or none, and reach the
+    newest revision in both cases.
     """
 
     async def scenario():
@@ -202,16 +207,16 @@
         await writer.committer.close()
         store.items = {k: v for k, v in store.items.items() if "snapshot" not in k}
         store.faults, store.steps = first + second, list(steps)
-        older = fold(log_of(store)[:110])
+        older = apply_all(read_log(store)[:110])
         trees = [writer.state.tree, older]
         await asyncio.gather(*(SnapshotStore(store).write(tree) for tree in trees))
         store.faults.clear()
-        found = await SnapshotStore(store).read()
-        assert (found.ok_value is not None) == ("snapshot" in store.items)
-        started = Writer(store, "3")
-        await started.catch_up()
-        assert started.state.revision == 120
-        assert started.state.tree.items() == writer.state.tree.items()
+        snapshot = await SnapshotStore(store).read()
+        assert (snapshot.ok_value is not None) == ("snapshot" in store.items)
+        restarted = Writer(store, "3")
+        await restarted.catch_up()
+        assert restarted.state.revision == 120
+        assert restarted.state.tree.items() == writer.state.tree.items()
 
     asyncio.run(scenario())
 
@@ -225,7 +230,7 @@
             ops = [Op("firm", "deadline_ms", number)]
             await writer.committer.commit(Proposal("1", "", ops, None, f"x{number}"))
             await asyncio.gather(*writer.committer._tasks)
-        kept = [change.number for change in log_of(store)]
+        kept = [change.number for change in read_log(store)]
         assert kept == list(range(300, 551))
         parts = {k.split("/")[1] for k in store.items if k.startswith("snapshot-parts")}
         assert parts == {"0000004", "0000005"}
--- a/tests/settings/test_tree.py
+++ b/tests/settings/test_tree.py
@@ -1,4 +1,4 @@
-"""The tree, its log and its snapshots, against plain models."""
+"""Properties of the settings tree, the change log and snapshots."""
 
 from hypothesis import given, settings, strategies as st
 
@@ -24,7 +24,7 @@
 OPS = st.builds(lambda s, k, v: Op(str(s), k, v), SCOPES, KEYS, VALUES)
 BATCHES = st.lists(OPS, min_size=1, max_size=4)
 LOGS = st.lists(BATCHES, max_size=8)
-RUNS = settings(derandomize=True, deadline=None, max_examples=150)
+PROPERTY_SETTINGS = settings(derandomize=True, deadline=None, max_examples=150)
 
 
 def make_changes(batches):
@@ -40,24 +40,24 @@
     return {(scope, key): value for scope, key, value in tree.items()}
 
 
-@RUNS
+@PROPERTY_SETTINGS
 @given(LOGS, SCOPES, KEYS)
-def test_the_lowest_level_that_sets_a_key_holds(batches, scope, key):
+def test_lowest_level_with_a_value_takes_precedence(batches, scope, key):
     _, tree = make_changes(batches)
     expected = None
-    for place in reversed(scope.lookup_order):
-        found = tree.get(place, key)
-        expected = found if found is not None else expected
+    for source in reversed(scope.lookup_order):
+        value = tree.get(source, key)
+        expected = value if value is not None else expected
     assert tree.resolve(scope, key) == expected
     explained = tree.explain(scope, key)
     assert (explained[0][1] if explained else None) == expected
 
 
-@RUNS
+@PROPERTY_SETTINGS
 @given(LOGS, st.randoms(use_true_random=False), st.integers(0, 400))
-def test_changes_in_any_order_never_take_the_revision_back(batches, random, kept):
+def test_revision_never_decreases_in_any_order_of_changes(batches, random, max_bytes):
     changes, tree = make_changes(batches)
-    log = ChangeLog(max_bytes=kept)
+    log = ChangeLog(max_bytes=max_bytes)
     sent = changes * 2
     random.shuffle(sent)
     for change in sent:
@@ -68,11 +68,11 @@
     assert values(log.tree) == values(tree)
 
 
-@RUNS
+@PROPERTY_SETTINGS
 @given(LOGS, st.integers(0, 8), st.integers(0, 400))
-def test_a_peer_that_is_behind_gets_all_that_it_lacks(batches, known, kept):
+def test_delta_brings_a_lagging_peer_up_to_date(batches, known, max_bytes):
     changes, tree = make_changes(batches)
-    ahead, behind = ChangeLog(max_bytes=kept), ChangeLog()
+    ahead, behind = ChangeLog(max_bytes=max_bytes), ChangeLog()
     ahead.apply_changes(changes)
     behind.apply_changes(changes[:known])
     behind.apply_delta(ahead.delta_since(behind.revision))
@@ -85,9 +85,9 @@
     assert values(behind.tree) == values(tree)
 
 
-@RUNS
+@PROPERTY_SETTINGS
 @given(LOGS, st.integers(1, 60))
-def test_a_snapshot_is_whole_or_nothing(batches, part_bytes):
+def test_incomplete_or_corrupt_snapshot_is_rejected(batches, part_bytes):
     _, tree = make_changes(batches)
     snapshot = split_snapshot(tree, part_bytes)
     parts = list(snapshot.parts)
@@ -100,39 +100,41 @@
     assert join_snapshot(pointer, [*parts[:-1], parts[-1] + b" "]) is None
 
 
-@RUNS
+@PROPERTY_SETTINGS
 @given(BATCHES, LOGS, SCOPES, KEYS)
-def test_what_does_not_overlap_gives_the_same_in_either_order(mine, others, scope, key):
+def test_batches_without_overlap_commute(proposed, committed, scope, key):
     """
-    The proof that the entry may commit a proposal on a newer revision: where no
-    overlap is found, what the operator replaced and what any request resolves
-    are the same as if the proposal had come first.
+    Shows that an entry may commit a proposal on a newer revision: without an overlap,
+    the values that it replaces and the values that any request resolves are the same
+    as if the proposal had been committed first.
     """
     _, base = make_changes([[Op("firm", "deadline_ms", 5)]])
     later = base
     since = []
-    for number, ops in enumerate(others, 2):
+    for number, ops in enumerate(committed, 2):
         since.append(
             Change(number, "", "other", "", "", with_previous_values(later, ops))
         )
         later = later.apply(ops)
-    winner = find_overlap(mine, since)
+    winner = find_overlap(proposed, since)
     if winner is not None:
-        assert differences(mine, winner)
+        assert differences(proposed, winner)
         return
-    assert with_previous_values(later, mine) == with_previous_values(base, mine)
-    for op in mine:
-        place = Scope.parse(op.scope)
-        assert later.resolve(place, op.key) == base.resolve(place, op.key)
-    first = base.apply(mine)
-    for ops in others:
-        first = first.apply(ops)
-    assert first.resolve(scope, key) == later.apply(mine).resolve(scope, key)
-
-
-@RUNS
+    assert with_previous_values(later, proposed) == with_previous_values(base, proposed)
+    for op in proposed:
+        source = Scope.parse(op.scope)
+        assert later.resolve(source, op.key) == base.resolve(source, op.key)
+    proposed_first = base.apply(proposed)
+    for ops in committed:
+        proposed_first = proposed_first.apply(ops)
+    assert proposed_first.resolve(scope, key) == later.apply(proposed).resolve(
+        scope, key
+    )
+
+
+@PROPERTY_SETTINGS
 @given(LOGS)
-def test_undoing_the_last_change_gives_the_tree_before_it(batches):
+def test_undo_of_the_last_change_restores_the_tree(batches):
     changes, tree = make_changes(batches)
     if changes:
         _, before = make_changes(batches[:-1])
