--- a/packages/daemon/src/amaranthtally/daemon/lifecycle.py
+++ b/packages/daemon/src/amaranthtally/daemon/lifecycle.py
@@ -131,12 +131,12 @@
     """Run ``work`` in a background task that is cancelled when the stack closes."""
     task = asyncio.create_task(work)
 
-    async def end() -> None:
+    async def cancel_task() -> None:
         task.cancel()
         with suppress(asyncio.CancelledError):
             await task
 
-    stack.push_async_callback(end)
+    stack.push_async_callback(cancel_task)
 
 
 class HttpServer:
--- a/packages/settings/src/amaranthtally/settings/__init__.py
+++ b/packages/settings/src/amaranthtally/settings/__init__.py
@@ -42,10 +42,10 @@
 
 __all__ = [
     "Change",
+    "ChangeDelta",
     "ChangeLog",
     "Difference",
     "EntrySettings",
-    "ChangeDelta",
     "GatewaySettings",
     "Key",
     "Level",
@@ -61,7 +61,6 @@
     "SnapshotPointer",
     "Tree",
     "check_ops",
-    "split_snapshot",
     "decode_change",
     "differences",
     "encode_change",
@@ -77,6 +76,7 @@
     "longest_deadline_s",
     "nearest_key",
     "required_models",
+    "split_snapshot",
     "undo_ops",
     "with_previous_values",
 ]
--- a/packages/settings/src/amaranthtally/settings/change_log.py
+++ b/packages/settings/src/amaranthtally/settings/change_log.py
@@ -9,7 +9,7 @@
 from amaranthtally.settings.snapshot import decode_tree, encode_tree
 from amaranthtally.settings.tree import Change, Tree
 
-__all__ = ["ChangeLog", "ChangeDelta", "decode_change", "encode_change"]
+__all__ = ["ChangeDelta", "ChangeLog", "decode_change", "encode_change"]
 
 MAX_RETAINED_BYTES = 1_048_576
 
--- a/packages/settings/src/amaranthtally/settings/keys.py
+++ b/packages/settings/src/amaranthtally/settings/keys.py
@@ -120,9 +120,9 @@
 @cache
 def _compile_template(template: str) -> re.Pattern[str]:
     parts = template.split(".")
-    is_last = len(parts) - 1
+    last = len(parts) - 1
     return re.compile(
-        r"\.".join(_part_pattern(p, n == is_last) for n, p in enumerate(parts))
+        r"\.".join(_part_pattern(p, n == last) for n, p in enumerate(parts))
     )
 
 
--- a/packages/settings/src/amaranthtally/settings/kinds.py
+++ b/packages/settings/src/amaranthtally/settings/kinds.py
@@ -12,15 +12,15 @@
     "EndpointRegistration",
     "Kind",
     "Role",
-    "choice",
     "boolean",
+    "choice",
+    "integer",
     "model",
     "name",
     "names",
     "number",
     "table",
     "text",
-    "integer",
 ]
 
 NAME_PATTERN = r"^[a-z0-9][a-zA-Z0-9_.-]{0,62}$"
--- a/packages/settings/src/amaranthtally/settings/models.py
+++ b/packages/settings/src/amaranthtally/settings/models.py
@@ -22,8 +22,8 @@
     "Offer",
     "Served",
     "longest_deadline_s",
-    "required_models",
     "offers",
+    "required_models",
 ]
 
 ANY_MODEL = ""
@@ -31,7 +31,7 @@
 STAGES_KEY = "stages"
 STAGE_PREFIX = "stage."
 _MODEL = re.compile(MODEL_PATTERN)
-# The models that endpoints serve according to their load reports, by endpoint.
+# The models that endpoints serve, as last reported to the entry, by endpoint.
 Served = Mapping[str, frozenset[str]]
 
 
--- a/packages/settings/src/amaranthtally/settings/snapshot.py
+++ b/packages/settings/src/amaranthtally/settings/snapshot.py
@@ -11,10 +11,10 @@
 __all__ = [
     "Snapshot",
     "SnapshotPointer",
-    "split_snapshot",
     "decode_tree",
     "encode_tree",
     "join_snapshot",
+    "split_snapshot",
 ]
 
 # The platform's key-value service limits values to one megabyte.
