--- a/packages/operator/src/amaranthtally/operator/replay/baselines.py
+++ b/packages/operator/src/amaranthtally/operator/replay/baselines.py
@@ -1,16 +1,17 @@
 """
-Simple planners to compare the policy with, in a registry that decorators fill.
+Baseline planners to compare the policy with, registered by a decorator.
 
-They use the same entries, sidecars and network. Their sidecars queue first in,
-first out. None of them knows of accounts, prefixes, load reports or prices.
+The baselines use the same entries, sidecars and network as the policy. Their
+sidecars queue calls first in, first out. No baseline considers accounts, prefixes,
+load reports or prices.
 """
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from random import Random
 
-from amaranthtally.operator.replay.entry import Decider
-from amaranthtally.operator.replay.queues import FirstInFirstOut
+from amaranthtally.operator.replay.entry import EntryPlanner
+from amaranthtally.operator.replay.queues import FifoQueue
 from amaranthtally.operator.replay.sidecar import Queue
 from amaranthtally.operator.replay.trace import PoolPlan
 from amaranthtally.policy import (
@@ -32,18 +33,18 @@
     Send,
 )
 
-__all__ = ["POLICY", "Contender", "contender", "contender_names"]
+__all__ = ["POLICY", "Contender", "get_contender", "contender_names"]
 
 POLICY = "policy"
-UNBOUNDED = 1_000_000
+UNBOUNDED_CAPACITY = 1_000_000
 
-BuildPlanner = Callable[[PolicySettings, Random], Decider]
+BuildPlanner = Callable[[PolicySettings, Random], EntryPlanner]
 BuildQueue = Callable[[PoolPlan], Queue]
 
 
 @dataclass(frozen=True, slots=True)
 class Contender:
-    """What runs on a trace: a planner for entries and a queue for sidecars."""
+    """A planner for the entries and a queue for the sidecars, replayed together."""
 
     name: str
     build_planner: BuildPlanner
@@ -54,16 +55,18 @@
 
 
 def contender_names() -> list[str]:
-    """Return the names of all contenders, the policy first."""
+    """Return the names of all contenders; the policy comes first."""
     return list(_CONTENDERS)
 
 
-def contender(name: str) -> Contender:
-    """Return a contender; raises ``KeyError``."""
+def get_contender(name: str) -> Contender:
+    """Return the contender of a name; raises ``KeyError`` if there is none."""
     return _CONTENDERS[name]
 
 
-def _contender(name: str, queue: BuildQueue) -> Callable[[BuildPlanner], BuildPlanner]:
+def _register_contender(
+    name: str, queue: BuildQueue
+) -> Callable[[BuildPlanner], BuildPlanner]:
     def register(build_planner: BuildPlanner) -> BuildPlanner:
         _CONTENDERS[name] = Contender(name, build_planner, queue)
         return build_planner
@@ -74,12 +77,12 @@
 # Queues
 
 
-def _bounded(pool: PoolPlan) -> Queue:
-    return FirstInFirstOut(pool.slots, pool.queue_capacity)
+def _bounded_fifo(pool: PoolPlan) -> Queue:
+    return FifoQueue(pool.slots, pool.queue_capacity)
 
 
-def _unbounded(pool: PoolPlan) -> Queue:
-    return FirstInFirstOut(pool.slots, UNBOUNDED)
+def _unbounded_fifo(pool: PoolPlan) -> Queue:
+    return FifoQueue(pool.slots, UNBOUNDED_CAPACITY)
 
 
 def _run_queue(pool: PoolPlan) -> Queue:
@@ -94,7 +97,7 @@
     arrival: Arrival
     stage: int = 0
     retries: int = 0
-    number: int = 0
+    attempt_number: int = 0
     started: bool = False
     attempt: AttemptId | None = None
     endpoint: str = ""
@@ -102,35 +105,40 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryRule:
-    """How often a stage is sent again, and whether only where it was not run."""
+    """
+    When the call of a stage is retried.
+
+    ``limit`` is the maximum number of retries. With ``only_not_run``, a call is
+    retried only if the sidecar reports that it did not run.
+    """
 
     limit: int
     only_not_run: bool
 
 
 @dataclass(slots=True)
-class Chooser:
-    """Chooses among a pool's endpoints by what this entry has outstanding."""
+class EndpointChooser:
+    """Chooses an endpoint of a pool in turn or by this entry's outstanding calls."""
 
     outstanding: dict[str, int] = field(default_factory=dict)
-    turns: dict[str, int] = field(default_factory=dict)
+    next_positions: dict[str, int] = field(default_factory=dict)
 
     def in_turn(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
-        """Return the endpoint whose turn it is."""
-        turn = self.turns.get(pool, 0)
-        self.turns[pool] = turn + 1
+        """Return the next endpoint in round-robin order."""
+        turn = self.next_positions.get(pool, 0)
+        self.next_positions[pool] = turn + 1
         return endpoints[turn % len(endpoints)]
 
     def least_outstanding(self, pool: str, endpoints: Sequence[Endpoint]) -> Endpoint:
-        """Return the endpoint with the fewest outstanding attempts, in turn."""
-        first = self.turns.get(pool, 0)
-        self.turns[pool] = first + 1
-        turned = [*endpoints[first % len(endpoints) :], *endpoints]
-        return min(turned, key=lambda e: self.outstanding.get(e.id, 0))
+        """Return the endpoint with the fewest outstanding attempts; ties rotate."""
+        first = self.next_positions.get(pool, 0)
+        self.next_positions[pool] = first + 1
+        rotated = [*endpoints[first % len(endpoints) :], *endpoints]
+        return min(rotated, key=lambda e: self.outstanding.get(e.id, 0))
 
 
 class BaselinePlanner:
-    """Sends each stage to the endpoint that a rule names; admits everything."""
+    """Admits every request and chooses endpoints by a fixed rule."""
 
     def __init__(
         self, settings: PolicySettings, least_outstanding: bool, rule: RetryRule
@@ -138,7 +146,7 @@
         self._pools: dict[str, list[Endpoint]] = {}
         for endpoint in settings.endpoints.values():
             self._pools.setdefault(endpoint.pool, []).append(endpoint)
-        self._chooser = Chooser()
+        self._chooser = EndpointChooser()
         self._choose = (
             self._chooser.least_outstanding
             if least_outstanding
@@ -148,18 +156,18 @@
         self._requests: dict[str, _Request] = {}
 
     def request_arrived(self, now: float, arrival: Arrival) -> list[Action]:
-        """Send the first stage."""
+        """Send the request's first stage."""
         request = self._requests[arrival.request_id] = _Request(arrival)
         return self._send(request)
 
     def reply(
         self, now: float, attempt: AttemptId, result: AttemptResult
     ) -> list[Action]:
-        """Send the next stage, retry, answer or refuse."""
+        """Send the next stage, retry the current one, answer or refuse."""
         request = self._requests.get(attempt.request_id)
         if request is None or request.attempt != attempt:
             return []
-        self._release(request)
+        self._release_attempt(request)
         request.started |= result.outcome is not AttemptOutcome.NOT_RUN
         if result.outcome is AttemptOutcome.FINISHED:
             return self._advance(request)
@@ -169,41 +177,41 @@
         return [self._refuse(request, RefusalReason.STAGE_FAILED)]
 
     def progress(self, now: float, attempt: AttemptId, chunks: int) -> list[Action]:
-        """Take no notice."""
+        """Ignore progress."""
         return []
 
     def load_report(
         self, now: float, endpoint: str, report: LoadReport
     ) -> list[Action]:
-        """Take no notice."""
+        """Ignore load reports."""
         return []
 
     def cache_event(self, now: float, endpoint: str, event: CacheEvent) -> list[Action]:
-        """Take no notice."""
+        """Ignore cache events."""
         return []
 
     def tick(self, now: float) -> list[Action]:
-        """End the requests whose deadline has passed."""
-        late = [r for r in self._requests.values() if r.arrival.deadline <= now]
+        """Refuse the requests whose deadline has passed."""
+        expired = [r for r in self._requests.values() if r.arrival.deadline <= now]
         actions: list[Action] = []
-        for request in late:
+        for request in expired:
             request.started |= request.attempt is not None
-            self._release(request)
+            self._release_attempt(request)
             actions.append(self._refuse(request, RefusalReason.DEADLINE))
         return actions
 
     def _advance(self, request: _Request) -> list[Action]:
         request.stage += 1
-        request.retries = request.number = 0
+        request.retries = request.attempt_number = 0
         if request.stage == len(request.arrival.pipeline.stages):
             del self._requests[request.arrival.request_id]
             return [Answer(request.arrival.request_id)]
         return self._send(request)
 
-    def _may_retry(self, request: _Request, fate: AttemptOutcome) -> bool:
+    def _may_retry(self, request: _Request, outcome: AttemptOutcome) -> bool:
         if request.retries >= self._rule.limit:
             return False
-        if fate is AttemptOutcome.NOT_RUN:
+        if outcome is AttemptOutcome.NOT_RUN:
             return True
         stage = request.arrival.pipeline.stages[request.stage]
         return stage.repeatable and not self._rule.only_not_run
@@ -214,12 +222,14 @@
         endpoint = self._choose(pool, self._pools[pool])
         outstanding = self._chooser.outstanding
         outstanding[endpoint.id] = outstanding.get(endpoint.id, 0) + 1
-        request.number += 1
-        request.attempt = AttemptId(arrival.request_id, request.stage, request.number)
+        request.attempt_number += 1
+        request.attempt = AttemptId(
+            arrival.request_id, request.stage, request.attempt_number
+        )
         request.endpoint = endpoint.id
         return [Send(request.attempt, endpoint.id, arrival.deadline)]
 
-    def _release(self, request: _Request) -> None:
+    def _release_attempt(self, request: _Request) -> None:
         if request.attempt is not None:
             self._chooser.outstanding[request.endpoint] -= 1
         request.attempt = None
@@ -230,26 +240,26 @@
         return Refuse(request.arrival.request_id, outcome, reason)
 
 
-@_contender(POLICY, _run_queue)
-def _policy(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender(POLICY, _run_queue)
+def _policy(settings: PolicySettings, random: Random) -> EntryPlanner:
     return Planner(settings, random)
 
 
-@_contender("round robin", _bounded)
-def _round_robin(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("round robin", _bounded_fifo)
+def _round_robin(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, False, RetryRule(1, True))
 
 
-@_contender("least outstanding", _bounded)
-def _least_outstanding(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("least outstanding", _bounded_fifo)
+def _least_outstanding(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_contender("no admission", _unbounded)
-def _no_admission(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("no admission", _unbounded_fifo)
+def _no_admission(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(1, True))
 
 
-@_contender("retry thrice", _bounded)
-def _retry_thrice(settings: PolicySettings, random: Random) -> Decider:
+@_register_contender("retry thrice", _bounded_fifo)
+def _retry_thrice(settings: PolicySettings, random: Random) -> EntryPlanner:
     return BaselinePlanner(settings, True, RetryRule(3, False))
--- a/packages/operator/src/amaranthtally/operator/replay/command.py
+++ b/packages/operator/src/amaranthtally/operator/replay/command.py
@@ -7,11 +7,20 @@
 import msgspec
 from cyclopts import App, Parameter
 
-from amaranthtally.operator.replay.baselines import POLICY, contender, contender_names
+from amaranthtally.operator.replay.baselines import (
+    POLICY,
+    contender_names,
+    get_contender,
+)
 from amaranthtally.operator.replay.bound import clairvoyant_bound
 from amaranthtally.operator.replay.errors import OutcomesError, TraceError
 from amaranthtally.operator.replay.measures import measure
-from amaranthtally.operator.replay.outcomes import Miss, Outcomes, check, read_outcomes
+from amaranthtally.operator.replay.outcomes import (
+    MissedOutcome,
+    Outcomes,
+    check,
+    read_outcomes,
+)
 from amaranthtally.operator.replay.report import TraceReport, build_report
 from amaranthtally.operator.replay.scenarios import make_trace, scenario_names
 from amaranthtally.operator.replay.simulation import replay
@@ -26,9 +35,9 @@
 TRACE_SUFFIX = ".jsonl.gz"
 
 
-class _Printed(msgspec.Struct, frozen=True):
+class _Output(msgspec.Struct, frozen=True):
     reports: list[TraceReport]
-    misses: list[Miss]
+    misses: list[MissedOutcome]
 
 
 def register(app: App) -> None:
@@ -38,12 +47,12 @@
 
 
 def report_trace(name: str, trace: Trace, contenders: list[str]) -> TraceReport:
-    """Replay a trace for each contender and return the report."""
+    """Replay a trace with each contender and return the report."""
     header = trace.header
     bound = clairvoyant_bound(trace)
     figures = [
-        measure(each, header, replay(trace, contender(each)), bound.pool)
-        for each in contenders
+        measure(contender, header, replay(trace, get_contender(contender)), bound.pool)
+        for contender in contenders
     ]
     return build_report(name, header, bound, figures)
 
@@ -58,31 +67,31 @@
     """
     Replay traces through the policy on a virtual clock.
 
-    Exits with 1 where an outcome is missed and 2 where a file cannot be used.
+    Exits with 1 if an expected outcome is missed and 2 if a file cannot be used.
 
     Parameters
     ----------
     traces
         Trace files, compressed or not.
     outcomes
-        TOML file of stated outcomes.
+        TOML file of expected outcomes: limits on the reported figures.
     baselines
-        Replay the baselines beside the policy.
+        Replay the baselines as well as the policy.
     json
         Print JSON instead of tables.
     plot
-        SVG file to draw attainment and cost in.
+        SVG file to write a plot of attainment and cost to.
     """
     names = contender_names() if baselines else [POLICY]
     try:
-        stated = read_outcomes(outcomes) if outcomes else Outcomes()
+        expected = read_outcomes(outcomes) if outcomes else Outcomes()
         loaded = [(_trace_name(path), read_trace(path)) for path in traces]
     except (OutcomesError, TraceError) as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
     reports = [report_trace(name, trace, names) for name, trace in loaded]
-    misses = [miss for report in reports for miss in check(stated, report)]
-    _print(_Printed(reports, misses), json)
+    misses = [miss for report in reports for miss in check(expected, report)]
+    _print(_Output(reports, misses), json)
     if plot is not None:
         _plot(reports, plot)
     return EXIT_MISSED if misses else 0
@@ -96,7 +105,7 @@
     scenario: str = "",
 ) -> int:
     """
-    Make the traces of a deployment, alike for the same seed.
+    Make the traces of a deployment; the same seed gives the same traces.
 
     Parameters
     ----------
@@ -105,21 +114,23 @@
     out
         Directory for the traces.
     seed
-        Seed of arrivals and of the work of each stage.
+        Seed of the arrivals and of the work of each stage.
     scenario
-        One scenario; all of them when left out.
+        Scenario to make a trace of; all scenarios if left out.
     """
     names = [scenario] if scenario else scenario_names()
     if not set(names) <= set(scenario_names()):
-        sys.stderr.write(f"scenario: choose from {', '.join(scenario_names())}\n")
+        sys.stderr.write(
+            f"unknown scenario; choose from {', '.join(scenario_names())}\n"
+        )
         return EXIT_BAD_INPUT
     try:
-        made = [make_trace(deployment, name, seed) for name in names]
+        made_traces = [make_trace(deployment, name, seed) for name in names]
     except TraceError as error:
         sys.stderr.write(f"{error}\n")
         return EXIT_BAD_INPUT
     out.mkdir(parents=True, exist_ok=True)
-    for trace in made:
+    for trace in made_traces:
         header = trace.header
         path = out / f"{header.deployment}-{header.scenario}{TRACE_SUFFIX}"
         write_trace(path, trace)
@@ -127,21 +138,22 @@
     return 0
 
 
-def _print(printed: _Printed, as_json: bool) -> None:
+def _print(output: _Output, as_json: bool) -> None:
     if as_json:
-        text = msgspec.json.format(msgspec.json.encode(printed)).decode()
+        text = msgspec.json.format(msgspec.json.encode(output)).decode()
         sys.stdout.write(f"{text}\n")
         return
-    for report in printed.reports:
+    for report in output.reports:
         sys.stdout.write(f"{render_report(report)}\n")
-    if len(printed.reports) > 1:
-        sys.stdout.write(f"{render_summary(printed.reports)}\n")
-    for miss in printed.misses:
+    if len(output.reports) > 1:
+        sys.stdout.write(f"{render_summary(output.reports)}\n")
+    for miss in output.misses:
         sys.stdout.write(f"MISSED {miss}\n")
 
 
 def _plot(reports: list[TraceReport], path: Path) -> None:
-    # Matplotlib takes longer to load than a short trace takes to replay.
+    # Imported here because loading Matplotlib takes longer than replaying a short
+    # trace.
     from amaranthtally.operator.replay.plot import plot_reports
 
     plot_reports(reports, path)
--- a/packages/operator/src/amaranthtally/operator/replay/measures.py
+++ b/packages/operator/src/amaranthtally/operator/replay/measures.py
@@ -1,4 +1,4 @@
-"""Figures of one replay, from its ledger."""
+"""Calculates the figures of one replay from its recorded requests."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -6,13 +6,13 @@
 import msgspec
 
 from amaranthtally.operator.quantiles import quantile
-from amaranthtally.operator.replay.ledger import Ledger, RequestRecord
+from amaranthtally.operator.replay.recorder import ReplayRecorder, RequestRecord
 from amaranthtally.operator.replay.trace import FaultKind, Header
 
 __all__ = ["Figures", "jain_index", "max_min_shares", "measure"]
 
-PERCENT_99 = 0.99
-# A burst shows in the answers only once its first requests can be through.
+P99 = 0.99
+# A burst affects the answers only after its first requests can have finished.
 BURST_LAG_S = 1.5
 
 
@@ -20,10 +20,11 @@
     """
     Figures of one contender on one trace.
 
-    Shares go from 0 to 1. ``cost`` is in prices of the trace's header: one engine
-    slot for one second is 1. ``goodput`` counts answers in time a second of trace;
-    ``burst_goodput`` those that needed the scarcest pool, a second of the burst,
-    from ``BURST_LAG_S`` after its start to as long after its end.
+    Shares are from 0 to 1. Costs are in the unit of the prices in the trace's header,
+    where one engine slot costs 1 per second. ``goodput`` is answers in time per second
+    of the trace. ``burst_goodput`` is answers in time per second of the burst, for
+    requests that need the bottleneck pool; the burst is counted from ``BURST_LAG_S``
+    after its start to ``BURST_LAG_S`` after its end.
     """
 
     contender: str
@@ -52,15 +53,17 @@
     false_not_run: int
 
 
-def measure(name: str, header: Header, ledger: Ledger, scarcest: str) -> Figures:
-    """Return the figures of a finished replay; ``scarcest`` names a pool."""
-    requests = ledger.requests
+def measure(
+    name: str, header: Header, recorder: ReplayRecorder, bottleneck: str
+) -> Figures:
+    """Return the figures of a finished replay; ``bottleneck`` is the name of a pool."""
+    requests = recorder.requests
     good = [r for r in requests if r.good]
     admitted = [r for r in requests if r.admitted]
     latencies = [(r.ended_at or 0.0) - r.arrival.at for r in good]
     cost = _cost_by_pool(requests, header)
-    region_bytes = _sum_bytes(requests)
-    spent_s, wasted_s = _work(requests)
+    region_bytes = _bytes_by_pool(requests)
+    spent_s, wasted_s = _slot_seconds(requests)
     return Figures(
         contender=name,
         requests=len(requests),
@@ -69,51 +72,51 @@
         attainment=_share(len(good), len(requests)),
         admitted_attainment=_share(sum(r.good for r in admitted), len(admitted)),
         goodput=_round(len(good) / header.duration_s),
-        burst_goodput=_burst_goodput(good, header, scarcest),
+        burst_goodput=_burst_goodput(good, header, bottleneck),
         latency_p50_s=_round(quantile(latencies, 0.5)),
-        latency_p99_s=_round(quantile(latencies, PERCENT_99)),
+        latency_p99_s=_round(quantile(latencies, P99)),
         cost_by_stage={pool: _round(value) for pool, value in sorted(cost.items())},
         cost_per_answer=_round(sum(cost.values()) / max(1, len(good))),
         region_bytes=sum(region_bytes.values()),
         region_bytes_by_stage=dict(sorted(region_bytes.items())),
-        sends=ledger.sends,
-        retries=ledger.retries,
-        hedges=ledger.hedges,
+        sends=recorder.sends,
+        retries=recorder.retries,
+        hedges=recorder.hedges,
         wasted_s=_round(wasted_s),
         wasted_share=_round(wasted_s / spent_s if spent_s else 0.0),
         fairness=_fairness(requests),
         refusals=_refusals(requests),
         unended=sum(r.ended_at is None for r in requests),
-        doubled_effects=ledger.doubled_effects,
-        false_not_run=ledger.false_not_run,
+        doubled_effects=recorder.doubled_effects,
+        false_not_run=recorder.false_not_run,
     )
 
 
 def max_min_shares(demands: list[int], total: float) -> list[float]:
-    """Return how ``total`` is shared max-min fairly among demands."""
+    """Return the max-min fair shares of ``total`` for the given demands."""
     shares = [0.0] * len(demands)
-    open_ = sorted(range(len(demands)), key=lambda i: demands[i])
-    left = total
-    while open_:
-        equal = left / len(open_)
-        smallest = open_.pop(0)
+    remaining = sorted(range(len(demands)), key=lambda i: demands[i])
+    unshared = total
+    while remaining:
+        equal = unshared / len(remaining)
+        smallest = remaining.pop(0)
         shares[smallest] = min(float(demands[smallest]), equal)
-        left -= shares[smallest]
+        unshared -= shares[smallest]
     return shares
 
 
 def jain_index(values: list[float]) -> float:
-    """Return Jain's index: 1 where all values are equal, 1/n where one has all."""
+    """Return Jain's index: 1 if all n values are equal, 1/n if one has all."""
     squares = sum(v * v for v in values)
     return sum(values) ** 2 / (len(values) * squares) if squares else 1.0
 
 
 def _fairness(requests: list[RequestRecord]) -> float:
-    """Jain's index over answers by the max-min fair share of all answers."""
-    asked = Counter(r.arrival.account for r in requests)
+    """Return Jain's index of answers per max-min fair share, over all accounts."""
+    submitted = Counter(r.arrival.account for r in requests)
     good = Counter(r.arrival.account for r in requests if r.good)
-    accounts = sorted(asked)
-    shares = max_min_shares([asked[a] for a in accounts], sum(good.values()))
+    accounts = sorted(submitted)
+    shares = max_min_shares([submitted[a] for a in accounts], sum(good.values()))
     return _round(
         jain_index([good[a] / s for a, s in zip(accounts, shares, strict=True) if s])
     )
@@ -131,14 +134,14 @@
     return {pool: value for pool, value in cost.items() if value}
 
 
-def _sum_bytes(requests: Iterable[RequestRecord]) -> dict[str, int]:
+def _bytes_by_pool(requests: Iterable[RequestRecord]) -> dict[str, int]:
     total: Counter[str] = Counter()
     for record in requests:
         total.update(record.region_bytes)
     return dict(total)
 
 
-def _work(requests: Iterable[RequestRecord]) -> tuple[float, float]:
+def _slot_seconds(requests: Iterable[RequestRecord]) -> tuple[float, float]:
     spent_s = wasted_s = 0.0
     for record in requests:
         for attempt, cost in record.costs.items():
@@ -148,30 +151,31 @@
     return spent_s, wasted_s
 
 
-def _burst_goodput(good: list[RequestRecord], header: Header, scarcest: str) -> float:
-    kinds = (FaultKind.BURST, FaultKind.FLOOD)
-    burst = next((f for f in header.faults if f.kind in kinds), None)
+def _burst_goodput(good: list[RequestRecord], header: Header, bottleneck: str) -> float:
+    burst_kinds = (FaultKind.BURST, FaultKind.FLOOD)
+    burst = next((f for f in header.faults if f.kind in burst_kinds), None)
     if burst is None:
         return 0.0
     start, end = burst.start_s + BURST_LAG_S, burst.end_s + BURST_LAG_S
-    users = {
+    pipelines = {
         plan.name
         for plan in header.pipelines
-        if any(stage.pool == scarcest for stage in plan.stages)
+        if any(stage.pool == bottleneck for stage in plan.stages)
     }
-    inside = sum(
-        r.arrival.pipeline in users and start <= (r.ended_at or 0.0) < end for r in good
+    answers = sum(
+        r.arrival.pipeline in pipelines and start <= (r.ended_at or 0.0) < end
+        for r in good
     )
-    return _round(inside / (end - start))
+    return _round(answers / (end - start))
 
 
 def _refusals(requests: Iterable[RequestRecord]) -> dict[str, int]:
-    found = Counter(
+    counts = Counter(
         f"{r.reason.value}/{r.outcome.value}"
         for r in requests
         if r.reason and r.outcome
     )
-    return dict(sorted(found.items()))
+    return dict(sorted(counts.items()))
 
 
 def _share(part: int, whole: int) -> float:
