--- a/tests/lifecycle/model_support.py
+++ b/tests/lifecycle/model_support.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from tests.settings.helpers import admin, propose, set_value
+from tests.settings.helpers import get_admin, propose, set_value
 from tests.support import plan
 
 OLD_MODEL, NEW_MODEL = "assessment-7b@1", "assessment-7b+claims@2"
@@ -59,7 +59,7 @@
 
 
 async def endpoint_rows(deployment):
-    return (await admin(deployment, "endpoints"))["endpoints"]
+    return (await get_admin(deployment, "endpoints"))["endpoints"]
 
 
 async def engine_state(deployment, pair):
