--- a/packages/simulator/src/amaranthtally/simulator/days.py
+++ b/packages/simulator/src/amaranthtally/simulator/days.py
@@ -9,7 +9,7 @@
 from amaranthtally.simulator.faults import plan_faults
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant
 from amaranthtally.simulator.requests import Ending, RequestRecord
-from amaranthtally.simulator.world import Simulation
+from amaranthtally.simulator.simulation import Simulation
 
 __all__ = ["DayResult", "figure_names", "simulate", "simulate_day"]
 
--- a/packages/simulator/src/amaranthtally/simulator/faults.py
+++ b/packages/simulator/src/amaranthtally/simulator/faults.py
@@ -5,10 +5,10 @@
 from pathlib import Path
 
 from amaranthtally.simulator.deployment import Deployment, Fault, check_known
-from amaranthtally.simulator.memberships import RECORD_TTL_S
-from amaranthtally.simulator.promises import OWNER_AGREEMENT_S
+from amaranthtally.simulator.entry_manager import RECORD_TTL_S
+from amaranthtally.simulator.invariants import OWNER_AGREEMENT_S
 from amaranthtally.simulator.servers import Server
-from amaranthtally.simulator.world import Simulation
+from amaranthtally.simulator.simulation import Simulation
 
 __all__ = ["check_faults", "fault_kinds", "plan_faults"]
 
--- a/packages/simulator/src/amaranthtally/simulator/promises.py
+++ b/packages/simulator/src/amaranthtally/simulator/invariants.py
@@ -9,7 +9,7 @@
 from amaranthtally.simulator.services import PlainServer
 
 if TYPE_CHECKING:
-    from amaranthtally.simulator.world import Simulation
+    from amaranthtally.simulator.simulation import Simulation
 
 __all__ = ["InvariantChecker"]
 
--- a/packages/simulator/src/amaranthtally/simulator/mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/mechanisms.py
@@ -7,7 +7,7 @@
 
 from amaranthtally.simulator import (  # noqa: F401, these register variants
     call_mechanisms,
-    place_mechanisms,
+    pool_site_mechanisms,
     request_mechanisms,
 )
 from amaranthtally.simulator.variants import (
--- a/packages/simulator/src/amaranthtally/simulator/world.py
+++ b/packages/simulator/src/amaranthtally/simulator/simulation.py
@@ -18,16 +18,16 @@
 from amaranthtally.simulator.deployment import Deployment
 from amaranthtally.simulator.engines import PrefillTracker
 from amaranthtally.simulator.entries import Entry
+from amaranthtally.simulator.entry_manager import EntryManager, ManagedEntry
 from amaranthtally.simulator.fleet import build_servers
+from amaranthtally.simulator.invariants import InvariantChecker
 from amaranthtally.simulator.mechanisms import POLICY, Variant
-from amaranthtally.simulator.memberships import EntryManager, ManagedEntry
 from amaranthtally.simulator.network import Network
-from amaranthtally.simulator.policy_terms import (
+from amaranthtally.simulator.policy_conversion import (
     kind_routing,
     policy_arrival,
     policy_pools,
 )
-from amaranthtally.simulator.promises import InvariantChecker
 from amaranthtally.simulator.requests import Request
 from amaranthtally.simulator.servers import Server
 from amaranthtally.simulator.stage_servers import ResultStore, StageServer
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -13,7 +13,7 @@
 from amaranthtally.simulator.faults import fault_kinds
 from amaranthtally.simulator.mechanisms import POLICY, Variant, variant, variant_names
 from amaranthtally.simulator.requests import Ending
-from amaranthtally.simulator.world import Simulation
+from amaranthtally.simulator.simulation import Simulation
 from tests.simulator.support import CLAIM, ORDER, fault, small_deployment
 
 TARGETS = {
