--- a/packages/policy/src/amaranthtally/policy/requests.py
+++ b/packages/policy/src/amaranthtally/policy/requests.py
@@ -1,11 +1,11 @@
-"""What the policy keeps of a request and its attempts."""
+"""The state of requests in flight and of their live attempts."""
 
 from dataclasses import dataclass, field
 
 from amaranthtally.policy.events import Arrival
 from amaranthtally.policy.model import AttemptId, Stage
 from amaranthtally.policy.piece_graph import StoredResult
-from amaranthtally.policy.stream_progress import Stream
+from amaranthtally.policy.streams import StreamProgress
 
 __all__ = ["LiveAttempt", "Request"]
 
@@ -15,22 +15,23 @@
     """
     An attempt that was sent and has not ended.
 
-    ``sent_at`` is a time stamp. ``wait_s`` and ``run_s`` were predicted, and so
-    were ``beside``, the calls that run at its side, and the share ``cached``.
-    ``reading`` counts the prompt tokens that it was predicted to read.
+    ``sent_at`` is a time stamp. Predicted when it was sent were ``wait_s``, ``run_s``,
+    the number of ``concurrent`` other calls, and the ``cached_share`` of its prefix.
+    ``pending_prefill_tokens`` are the prompt tokens that it was predicted to process, 0
+    after its first chunk. ``queries`` counts the queries for its outcome.
     """
 
     endpoint: str
     sent_at: float
     wait_s: float
     run_s: float
-    beside: float
-    cached: float = 0.0
+    concurrent: float
+    cached_share: float = 0.0
     hedge: bool = False
     probe: bool = False
-    asks: int = 0
-    reading: int = 0
-    stream: Stream = field(default_factory=Stream)
+    queries: int = 0
+    pending_prefill_tokens: int = 0
+    stream: StreamProgress = field(default_factory=StreamProgress)
 
 
 @dataclass(slots=True)
@@ -38,34 +39,35 @@
     """
     A request that was admitted and has not ended.
 
-    ``sent`` counts attempts over all stages and ``unstarted`` those proved not to
-    have started. ``number``, ``resends`` and ``stage_unstarted`` count within the
-    stage. ``remaining``
-    holds the stage that runs now, ``current``, and those after it. While it is
-    ``gathering`` its pieces are made; ``inputs`` are their results, and ``retry_cost``
-    what the attempt that waits for them takes from the retry budget.
+    ``attempts_sent`` counts the attempts at all stages, and ``attempts_not_run`` those
+    that provably did not run. ``stage_attempts``, ``stage_attempts_not_run`` and
+    ``resends`` count only those at the current stage; ``chunks`` is the number of its
+    chunks that the caller has. ``remaining`` holds the current stage and those after
+    it, ``excluded`` the endpoints at which the current stage has failed. While the
+    request ``awaits_inputs``, its pieces are being computed; ``inputs`` are their
+    results, and ``retry_cost`` is the budget cost of the attempt that waits for them.
     """
 
     arrival: Arrival
-    stage: int = 0
-    number: int = 0
+    stage_index: int = 0
+    stage_attempts: int = 0
     resends: int = 0
-    sent: int = 0
-    unstarted: int = 0
-    stage_unstarted: int = 0
+    attempts_sent: int = 0
+    attempts_not_run: int = 0
+    stage_attempts_not_run: int = 0
     chunks: int = 0
     previous_bytes: int = 0
     inputs: tuple[StoredResult, ...] = ()
-    gathering: bool = False
+    awaits_inputs: bool = False
     retry_cost: float = 0.0
-    avoid: frozenset[str] = frozenset()
+    excluded: frozenset[str] = frozenset()
     live: dict[AttemptId, LiveAttempt] = field(default_factory=dict)
     remaining: tuple[Stage, ...] = field(init=False)
-    current: Stage = field(init=False)
+    current_stage: Stage = field(init=False)
 
     def __post_init__(self) -> None:
         self.remaining = self.arrival.pipeline.stages
-        self.current = self.remaining[0]
+        self.current_stage = self.remaining[0]
 
     @property
     def id(self) -> str:
@@ -74,28 +76,28 @@
 
     @property
     def bound_to(self) -> str:
-        """The one endpoint that may run the current stage; empty where any may."""
-        return self.arrival.bound.get(self.stage, "")
+        """The only endpoint that may run the current stage, or "" if any may."""
+        return self.arrival.bound.get(self.stage_index, "")
 
     @property
-    def may_run_again(self) -> bool:
-        """Whether another endpoint may run the current stage."""
-        limit = self.current.max_attempts
-        return not limit or self.number - self.stage_unstarted < limit
+    def has_attempts_left(self) -> bool:
+        """Whether the stage's limit allows another attempt that may run."""
+        limit = self.current_stage.max_attempts
+        return not limit or self.stage_attempts - self.stage_attempts_not_run < limit
 
     @property
     def nothing_started(self) -> bool:
-        """Whether every attempt sent is proved not to have started."""
-        return self.sent == self.unstarted
+        """Whether all attempts sent provably did not run."""
+        return self.attempts_sent == self.attempts_not_run
 
     def next_stage(self) -> None:
-        """Go on to the next stage, or past the last."""
-        self.stage += 1
+        """Advance to the next stage, or past the last."""
+        self.stage_index += 1
         self.remaining = self.remaining[1:]
         if self.remaining:
-            self.current = self.remaining[0]
-        self.number = 0
+            self.current_stage = self.remaining[0]
+        self.stage_attempts = 0
         self.resends = 0
-        self.stage_unstarted = 0
+        self.stage_attempts_not_run = 0
         self.chunks = 0
-        self.avoid = frozenset()
+        self.excluded = frozenset()
