--- a/bench/settings_size.py
+++ b/bench/settings_size.py
@@ -81,7 +81,7 @@
     size = sum(map(len, snapshot.parts))
     print(f"endpoints {arguments.endpoints}, accounts {arguments.accounts}")
     print(f"tree, resident: {tree_bytes / 1e6:.1f} MB")
-    print(f"settings state of an entry: {measure_entry_bytes(arguments) / 1e6:.1f} MB")
+    print(f"held by an entry: {measure_entry_bytes(arguments) / 1e6:.1f} MB")
     print(f"snapshot: {size / 1e6:.2f} MB in {len(snapshot.parts)} parts")
     op = Op("firm", "limit.share", 2)
     model = Op("account:a1/pipeline:p0", "stage.s0.model", "m-2")
