--- a/tests/failure/test_joined_chunks.py
+++ b/tests/failure/test_joined_chunks.py
@@ -21,9 +21,9 @@
     CHUNKS,
     FakeSidecar,
     chunk_text,
+    complete_text,
     fake_deployment,
     run_with_capnp,
-    whole_text,
 )
 from tests.support import parse_events, run_async
 
@@ -63,7 +63,7 @@
                 events = parse_events(await answer.text())
                 assert events[-1][0] == "done", events
                 text = "".join(d["text"] for kind, d in events if kind == "chunk")
-                assert text == whole_text(f"claim {number}")
+                assert text == complete_text(f"claim {number}")
                 assert events[-1][1]["output"]["text"] == text
             failed = {call.id.request_id for call in failing.calls}
             assert failed
