--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,9 +1,9 @@
-"""What each way to bind a call that may not be repeated costs, in one run.
+"""Compares at-most-once calls by their kind of idempotency key, in one run.
 
     .venv/bin/python -m bench.at_most_once [--requests N] [--platform-ms N]
 
-Prints the platform's writes and reads a call, the latency, and what is served
-while the platform is down.
+Prints the platform's writes and reads per call, the latency, and the outcomes of
+calls during an outage of the platform.
 """
 
 import argparse
@@ -26,25 +26,25 @@
 from amaranthtally.wire import AtMostOnceTerms
 
 PLAN = Path(__file__).parent.parent / "examples" / "agrosalv.toml"
-EFFECT = "dispatch-order"
-PLAIN = "dispatch-plain"
+AT_MOST_ONCE_PIPELINE = "dispatch-order"
+REPEATABLE_PIPELINE = "dispatch-plain"
 POOLS = ("roster", "dispatch")
 ORDER = {"to": "field 7"}
-WARM = 20
+WARM_REQUESTS = 20
 MS = 1000.0
-MICRO = 1_000_000
+MICROS_PER_S = 1_000_000
 LEDGER_CALLS = 10_000
 
-KeyMaker = Callable[[int], Coroutine[Any, Any, str]]
+KeyFactory = Callable[[int], Coroutine[Any, Any, str]]
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A way to send an order; ``key`` makes the key of the n-th one."""
+class KeyVariant:
+    """A pipeline and a kind of key; ``key`` returns the idempotency key of a call."""
 
     name: str
     pipeline: str
-    key: KeyMaker
+    key: KeyFactory
 
 
 async def main() -> None:
@@ -52,122 +52,129 @@
     parser.add_argument("--requests", type=int, default=300)
     parser.add_argument("--platform-ms", type=float, default=3.0)
     arguments = parser.parse_args()
-    async with open_deployment(small_plan(), entries=2) as deployment:
+    async with open_deployment(dispatch_plan(), entries=2) as deployment:
         await deployment.set_knobs(
             deployment.platform, service=arguments.platform_ms / MS
         )
-        for way in ways(deployment):
-            await measure(deployment, way, arguments.requests)
+        for variant in key_variants(deployment):
+            await measure(deployment, variant, arguments.requests)
         await deployment.set_knobs(deployment.platform, outage=True)
-        for way in ways(deployment, "outage-"):
-            await measure_outage(deployment, way, arguments.requests)
+        for variant in key_variants(deployment, "outage-"):
+            await measure_outage(deployment, variant, arguments.requests)
     measure_memory(LEDGER_CALLS)
 
 
-def small_plan():
-    """Return the dispatch pipeline, with effects and without."""
+def dispatch_plan():
+    """Return a plan with the dispatch pipeline, at-most-once and repeatable."""
     plan = load_plan(PLAN)
     pools = [
         msgspec.structs.replace(pool, knobs={})
         for pool in plan.pools
         if pool.name in POOLS
     ]
-    effect = plan.settings[f"pipeline:{EFFECT}"]
-    roster, dispatch = effect["stage"]["roster"], effect["stage"]["dispatch"]
-    free = {"roster": roster, "dispatch": {**dispatch, "repeatable": True}}
+    pipeline = plan.settings[f"pipeline:{AT_MOST_ONCE_PIPELINE}"]
+    roster, dispatch = pipeline["stage"]["roster"], pipeline["stage"]["dispatch"]
+    repeatable_stages = {"roster": roster, "dispatch": {**dispatch, "repeatable": True}}
     settings = {
-        f"pipeline:{EFFECT}": effect,
-        f"pipeline:{PLAIN}": {**effect, "stage": free},
+        f"pipeline:{AT_MOST_ONCE_PIPELINE}": pipeline,
+        f"pipeline:{REPEATABLE_PIPELINE}": {**pipeline, "stage": repeatable_stages},
     }
     return msgspec.structs.replace(plan, pools=pools, settings=settings)
 
 
-def ways(deployment: Deployment, prefix: str = "") -> list[Way]:
-    """Return the ways to compare."""
+def key_variants(deployment: Deployment, prefix: str = "") -> list[KeyVariant]:
+    """Return the variants to compare; keys chosen by callers start with ``prefix``."""
 
-    async def none(number: int) -> str:
+    async def no_key(number: int) -> str:
         return ""
 
-    async def own(number: int) -> str:
+    async def new_key(number: int) -> str:
         return f"{prefix}order-{number}"
 
-    async def repeated(number: int) -> str:
+    async def repeated_key(number: int) -> str:
         return f"{prefix}order-0"
 
-    async def token(number: int) -> str:
-        return await take_token(deployment)
+    async def new_token(number: int) -> str:
+        return await issue_token(deployment)
 
     return [
-        Way("repeatable, no key", PLAIN, none),
-        Way("token, taken and used", EFFECT, token),
-        Way("own key, new", EFFECT, own),
-        Way("own key, repeated", EFFECT, repeated),
+        KeyVariant("repeatable, no key", REPEATABLE_PIPELINE, no_key),
+        KeyVariant("token, taken and used", AT_MOST_ONCE_PIPELINE, new_token),
+        KeyVariant("own key, new", AT_MOST_ONCE_PIPELINE, new_key),
+        KeyVariant("own key, repeated", AT_MOST_ONCE_PIPELINE, repeated_key),
     ]
 
 
-async def take_token(deployment: Deployment) -> str:
+async def issue_token(deployment: Deployment) -> str:
     key = deployment.plan.accounts[0].key
     async with deployment.http.post(
-        f"{deployment.entry_url()}/v1/pipelines/{EFFECT}/tokens",
+        f"{deployment.entry_url()}/v1/pipelines/{AT_MOST_ONCE_PIPELINE}/tokens",
         headers={"Authorization": f"Bearer {key}"},
     ) as response:
         return (await response.json())["token"]
 
 
-async def counts(deployment: Deployment) -> Counter[str]:
-    """Return the platform's calls by kind, watches left out."""
-    async with deployment.http.get(deployment.platform_url + "/_counts") as found:
-        by_caller = await found.json()
+async def platform_calls(deployment: Deployment) -> Counter[str]:
+    """Return the platform's calls by kind, summed over callers, without watches."""
+    async with deployment.http.get(deployment.platform_url + "/_counts") as response:
+        by_caller = await response.json()
     kinds: Counter[str] = Counter()
     for name, count in by_caller.items():
         kinds[name.rpartition(" ")[2]] += count
     return kinds
 
 
-async def measure(deployment: Deployment, way: Way, requests: int) -> None:
+async def measure(deployment: Deployment, variant: KeyVariant, requests: int) -> None:
     before: Counter[str] = Counter()
-    times, token_times = [], []
-    for number in range(requests + WARM):
-        if number == WARM:
-            before = await counts(deployment)
+    response_ms, token_ms = [], []
+    for number in range(requests + WARM_REQUESTS):
+        if number == WARM_REQUESTS:
+            before = await platform_calls(deployment)
         start = time.perf_counter()
-        key = await way.key(number)
+        key = await variant.key(number)
         sent = time.perf_counter()
-        answer = await deployment.call(way.pipeline, ORDER, entry=number % 2, key=key)
+        answer = await deployment.call(
+            variant.pipeline, ORDER, entry=number % 2, key=key
+        )
         assert answer.status == 200, await answer.text()
-        token_times.append((sent - start) * MS)
-        times.append((time.perf_counter() - sent) * MS)
-    used = await counts(deployment)
-    used.subtract(before)
-    call, taking = times[WARM:], token_times[WARM:]
+        token_ms.append((sent - start) * MS)
+        response_ms.append((time.perf_counter() - sent) * MS)
+    calls = await platform_calls(deployment)
+    calls.subtract(before)
+    call_ms, issue_ms = response_ms[WARM_REQUESTS:], token_ms[WARM_REQUESTS:]
     print(
-        f"{way.name:24} writes {used['write'] / requests:4.2f}  "
-        f"reads {used['read'] / requests:4.2f}  call p50 {median(call):6.2f} "
-        f"p99 {quantiles(call, n=100)[98]:6.2f} ms  "
-        f"token p50 {median(taking):5.2f} ms"
+        f"{variant.name:24} writes {calls['write'] / requests:4.2f}  "
+        f"reads {calls['read'] / requests:4.2f}  call p50 {median(call_ms):6.2f} "
+        f"p99 {quantiles(call_ms, n=100)[98]:6.2f} ms  "
+        f"token p50 {median(issue_ms):5.2f} ms"
     )
 
 
-async def measure_outage(deployment: Deployment, way: Way, requests: int) -> None:
+async def measure_outage(
+    deployment: Deployment, variant: KeyVariant, requests: int
+) -> None:
     outcomes: Counter[str] = Counter()
-    times = []
+    response_ms = []
     for number in range(requests):
-        key = await way.key(number)
+        key = await variant.key(number)
         start = time.perf_counter()
-        answer = await deployment.call(way.pipeline, ORDER, entry=number % 2, key=key)
-        times.append((time.perf_counter() - start) * MS)
+        answer = await deployment.call(
+            variant.pipeline, ORDER, entry=number % 2, key=key
+        )
+        response_ms.append((time.perf_counter() - start) * MS)
         outcomes[(await answer.json()).get("outcome", "answered")] += 1
     print(
-        f"outage: {way.name:24} {dict(outcomes)}  p50 {median(times):6.2f} "
-        f"p99 {quantiles(times, n=100)[98]:6.2f} ms"
+        f"outage: {variant.name:24} {dict(outcomes)}  p50 {median(response_ms):6.2f} "
+        f"p99 {quantiles(response_ms, n=100)[98]:6.2f} ms"
     )
 
 
 def measure_memory(calls: int) -> None:
-    """Print what one call on record costs a sidecar, its output left out."""
+    """Print a sidecar's memory and time for one recorded call, without its output."""
     ledger = CallLedger(1, calls, 900.0)
     keys = [
-        f"harvest-cooperative/{EFFECT}/key/order-{n}#1.dispatch" for n in range(calls)
+        f"harvest-cooperative/{AT_MOST_ONCE_PIPELINE}/key/order-{n}#1.dispatch"
+        for n in range(calls)
     ]
     fingerprints = [fingerprint_of(b'{"to": "field %d"}' % n) for n in range(calls)]
     tracemalloc.start()
@@ -175,13 +182,13 @@
     for key, fingerprint in zip(keys, fingerprints, strict=True):
         terms = AtMostOnceTerms(incarnation=1, issued_s=0.0, fingerprint=fingerprint)
         ledger.open(0.0, key, terms)
-    spent = time.perf_counter() - start
-    grown, _ = tracemalloc.get_traced_memory()
+    elapsed = time.perf_counter() - start
+    ledger_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    texts = sum(map(sys.getsizeof, keys)) + sum(map(sys.getsizeof, fingerprints))
+    text_bytes = sum(map(sys.getsizeof, keys)) + sum(map(sys.getsizeof, fingerprints))
     print(
-        f"ledger: {calls} calls, {(grown + texts) / calls:.0f} bytes each, "
-        f"{spent / calls * MICRO:.1f} us each to open"
+        f"ledger: {calls} calls, {(ledger_bytes + text_bytes) / calls:.0f} bytes each, "
+        f"{elapsed / calls * MICROS_PER_S:.1f} us each to open"
     )
 
 
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -18,7 +18,7 @@
 from tests.at_most_once.test_handover import place_orders, repeat_all
 from tests.lifecycle.model_support import DEADLINE_MS, calls_by_model, model_plan
 from tests.lifecycle.support import log_lines
-from tests.settings.helpers import admin, propose, set_value
+from tests.settings.helpers import get_admin, propose, set_value
 from tests.support import run_async
 
 LISTENING_LINE = re.compile(r" name=(\S+) .*port=(\d+) http=(\d+)")
@@ -87,7 +87,7 @@
 async def wait_until_available(deployment, number, endpoints):
     """Return once endpoints have reported to an entry that they take calls."""
     while True:
-        rows = (await admin(deployment, "endpoints", number))["endpoints"]
+        rows = (await get_admin(deployment, "endpoints", number))["endpoints"]
         available = {row["id"] for row in rows if row["heard"] and not row["leaving"]}
         if endpoints <= available:
             return
