--- a/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
+++ b/packages/daemon/src/amaranthtally/daemon/sidecar/at_most_once.py
@@ -22,7 +22,7 @@
 
 __all__ = ["AtMostOnceCalls", "CallRunner"]
 
-MAX_OUTPUT_BYTES = 8 * 1024 * 1024
+MAX_STORED_OUTPUT_BYTES = 8 * 1024 * 1024
 NO_ID = CallId("", 0, 0)
 
 log = get_logger()
@@ -248,7 +248,7 @@
         self._output_bytes += size - self._outputs.pop(key, 0)
         self._outputs[key] = size
         for oldest, output_size in self._outputs.items():
-            if self._output_bytes <= MAX_OUTPUT_BYTES:
+            if self._output_bytes <= MAX_STORED_OUTPUT_BYTES:
                 return
             # Keep the record without its output: a repeat of the call must not run.
             self._output_bytes -= output_size
