--- a/packages/standins/src/amaranthtally/standins/__init__.py
+++ b/packages/standins/src/amaranthtally/standins/__init__.py
@@ -1,5 +1,6 @@
 """
-Small fakes of the platform and of the endpoints, for tests and the quickstart.
+Fake services that stand in for the platform and the endpoints.
 
-Nothing of the system imports this package.
+The tests, the bench and the quickstart use them; no production package imports this
+one.
 """
--- a/packages/standins/src/amaranthtally/standins/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/__main__.py
@@ -14,13 +14,13 @@
 
 
 def main() -> int:
-    """Run the stand-in until SIGTERM."""
+    """Run the stand-in until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(prog="standins", description=__doc__)
     parser.add_argument("kind", choices=standin_kinds())
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="IP:PORT")
-    parser.add_argument("--name", default="", help="name in answers and records")
+    parser.add_argument("--name", default="", help="name in responses and records")
     parser.add_argument(
-        "--set", nargs="*", default=[], metavar="KNOB=VALUE", help="knobs at start"
+        "--set", nargs="*", default=[], metavar="KNOB=VALUE", help="initial knob values"
     )
     arguments = parser.parse_args()
     standin = build_standin(arguments.kind, arguments.name or arguments.kind)
@@ -33,8 +33,8 @@
     host, _, port = listen.rpartition(":")
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     async with AsyncExitStack() as stack:
         runner = web.AppRunner(standin.application(), access_log=None)
         await runner.setup()
--- a/packages/standins/src/amaranthtally/standins/chaos/__init__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""Long randomised runs: a small deployment under load, faults and checks."""
+"""Long randomised runs: a small deployment under load and injected faults."""
--- a/packages/standins/src/amaranthtally/standins/chaos/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__main__.py
@@ -1,7 +1,7 @@
 """
-Run a small deployment under mixed load and random faults; check every promise.
+Run a small deployment under mixed load and random faults; check its guarantees.
 
-The exit code is 0 when no promise was broken, 1 otherwise.
+The exit code is 0 when no violation was found, 1 otherwise.
 """
 
 import argparse
@@ -32,17 +32,17 @@
 
 __all__ = ["main", "run_chaos"]
 
-TOKENS = 8
+TOKENS_PER_ANSWER = 8
 SERVERS = 3
 ENTRIES = 3
 AT_ONCE = 24
 SETTLE_S = 3.0
-PAIR_SHARE = 0.4
+SIMULTANEOUS_SHARE = 0.4
 PLAN = Path("examples/agrosalv.toml")
 
 
 def main() -> int:
-    """Run from the command line; return the exit code."""
+    """Parse the command line, run one seed and return the exit code."""
     parser = argparse.ArgumentParser(prog="chaos", description=__doc__)
     parser.add_argument("--plan", type=Path, default=PLAN, help="deployment plan")
     parser.add_argument("--seed", type=int, default=1)
@@ -50,16 +50,16 @@
     parser.add_argument("--faults", type=int, default=10)
     parser.add_argument("--at-once", type=int, default=AT_ONCE)
     parser.add_argument("--only", nargs="*", choices=fault_names(), help="faults")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     started = time.monotonic()
-    names = given.only or fault_names()
+    names = arguments.only or fault_names()
     world = asyncio.run(
         run_chaos(
-            load_plan(given.plan),
-            given.seed,
-            given.requests,
-            given.faults,
-            given.at_once,
+            load_plan(arguments.plan),
+            arguments.seed,
+            arguments.requests,
+            arguments.faults,
+            arguments.at_once,
             names,
         )
     )
@@ -80,20 +80,21 @@
     at_once: int = AT_ONCE,
     names: list[str] | None = None,
 ) -> World:
-    """Run one seed; the world holds its counts and its violations."""
+    """Run one seed; the returned world holds the counts and the violations."""
     async with (
-        open_deployment(_quick(plan), ENTRIES, SERVERS) as deployment,
+        open_deployment(_with_fast_endpoints(plan), ENTRIES, SERVERS) as deployment,
         open_relays(deployment, EFFECT_POOL, ENGINE_POOL) as relays,
     ):
         balancer = Balancer(deployment)
         world = World(deployment, balancer, Random(seed), relays)
-        following = asyncio.create_task(balancer.run())
-        callers = Callers(world, seed, TOKENS)
+        polling = asyncio.create_task(balancer.run())
+        callers = Callers(world, seed, TOKENS_PER_ANSWER)
         injecting = asyncio.create_task(
             _inject_all(world, faults, names or fault_names())
         )
         await callers.run(requests, at_once)
-        # Load goes on for as long as faults do, so that each of them meets some.
+        # Keep sending until the last fault has been healed, so that every fault occurs
+        # under load.
         number = requests
         while not injecting.done():
             await callers.run_more(number, at_once, at_once)
@@ -101,26 +102,29 @@
         await injecting
         await asyncio.sleep(SETTLE_S)
         await check_records(world, callers)
-        following.cancel()
+        polling.cancel()
         with suppress(asyncio.CancelledError):
-            await following
+            await polling
         return world
 
 
 async def _inject_all(world: World, faults: int, names: list[str]) -> None:
-    done = 0
-    while done < faults:
-        pair = faults - done > 1 and world.random.random() < PAIR_SHARE
-        chosen = [world.random.choice(names) for _ in range(2 if pair else 1)]
-        await asyncio.gather(*(inject(world, name) for name in chosen))
-        done += len(chosen)
+    injected = 0
+    while injected < faults:
+        simultaneous = (
+            faults - injected > 1 and world.random.random() < SIMULTANEOUS_SHARE
+        )
+        batch = [world.random.choice(names) for _ in range(2 if simultaneous else 1)]
+        await asyncio.gather(*(inject(world, name) for name in batch))
+        injected += len(batch)
 
 
-def _quick(plan: DeploymentPlan) -> DeploymentPlan:
-    """Return the plan with endpoints that answer at once."""
+def _with_fast_endpoints(plan: DeploymentPlan) -> DeploymentPlan:
+    """Return the plan with short token and service times."""
     pools = [
         msgspec.structs.replace(
-            pool, knobs={"tokens": TOKENS, "token_time": 0.004, "service": 0.002}
+            pool,
+            knobs={"tokens": TOKENS_PER_ANSWER, "token_time": 0.004, "service": 0.002},
         )
         for pool in plan.pools
     ]
--- a/packages/standins/src/amaranthtally/standins/chaos/balancer.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/balancer.py
@@ -1,4 +1,4 @@
-"""A tiny balancer for tests: it follows ``/readyz`` of every entry."""
+"""A minimal load balancer for tests that polls ``/readyz`` of every entry."""
 
 import asyncio
 from random import Random
@@ -15,7 +15,7 @@
 
 
 class Balancer:
-    """Knows which entries are ready and picks among them."""
+    """Tracks which entries are ready and picks a random one of them."""
 
     def __init__(self, deployment: Deployment) -> None:
         self._deployment = deployment
@@ -27,30 +27,30 @@
         return frozenset(self._ready)
 
     async def run(self) -> None:
-        """Ask every entry again and again; never returns."""
+        """Poll the readiness of every entry; never returns."""
         numbers = range(len(self._deployment.entries))
-        await asyncio.gather(*(self._follow(number) for number in numbers))
+        await asyncio.gather(*(self._poll(number) for number in numbers))
 
     async def pick(self, random: Random) -> int:
-        """Return the number of a ready entry, waiting until there is one."""
+        """Return the number of a random ready entry, waiting until there is one."""
         while not self._ready:
             await asyncio.sleep(POLL_S)
         return random.choice(sorted(self._ready))
 
     async def wait_ready(self, number: int) -> None:
-        """Return once an entry is ready."""
+        """Wait until an entry is ready."""
         while number not in self._ready:
             await asyncio.sleep(POLL_S)
 
-    async def _follow(self, number: int) -> None:
+    async def _poll(self, number: int) -> None:
         while True:
-            if await self._ask(number):
+            if await self._is_ready(number):
                 self._ready.add(number)
             else:
                 self._ready.discard(number)
             await asyncio.sleep(POLL_S)
 
-    async def _ask(self, number: int) -> bool:
+    async def _is_ready(self, number: int) -> bool:
         url = self._deployment.entry_url(number) + "/readyz"
         timeout = aiohttp.ClientTimeout(total=POLL_TIMEOUT_S)
         try:
--- a/packages/standins/src/amaranthtally/standins/chaos/callers.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a randomised run: each checks that its answer is whole and its own."""
+"""Callers of a randomised run, which check that each answer is complete and correct."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -23,7 +23,11 @@
 
 @dataclass(slots=True)
 class Effect:
-    """What the callers of one idempotency key were told."""
+    """
+    The answers that requests with one idempotency key received.
+
+    ``not_run`` and ``unknown`` count the requests that ended with these outcomes.
+    """
 
     key: str
     orders: list[str] = field(default_factory=list)
@@ -32,7 +36,7 @@
 
 
 class Callers:
-    """Sends requests and notes what does not hold."""
+    The answers that requests with one idempotency key received.
 
     def __init__(
         self,
@@ -50,18 +54,18 @@
         self.not_run_ids: list[str] = []
 
     async def run(self, requests: int, at_once: int) -> None:
-        """Send so many requests, a bounded number at once."""
+        """Send ``requests`` requests, at most ``at_once`` of them concurrently."""
         await self.run_more(0, requests, at_once)
 
     async def run_more(self, first: int, requests: int, at_once: int) -> None:
-        """Send so many more, numbered from ``first``."""
+        """Send ``requests`` more requests, numbered from ``first``."""
         numbers = iter(range(first, first + requests))
 
-        async def work() -> None:
+        async def send_next() -> None:
             for number in numbers:
                 await self._request(number)
 
-        await asyncio.gather(*(work() for _ in range(at_once)))
+        await asyncio.gather(*(send_next() for _ in range(at_once)))
 
     async def _request(self, number: int) -> None:
         weights = [WEIGHTS[kind] for kind in self._kinds]
@@ -72,7 +76,7 @@
             entry = await self._world.balancer.pick(self._random)
             await self._answer(entry, f"claim {number}", kind == "stream")
 
-    # Answers that may be repeated
+    # Requests without effects
 
     async def _answer(self, entry: int, text: str, stream: bool) -> None:
         body = {"input": text, "stream": stream}
@@ -80,7 +84,7 @@
         if status == 0:
             return
         if status != 200:
-            self._refused(content)
+            self._count_refusal(content)
         elif stream:
             self._check_stream(text, content)
         else:
@@ -92,10 +96,10 @@
         events = [_event(block) for block in content.split(EVENT_END) if block]
         kind, data = events[-1] if events else ("nothing", {})
         if kind == "error":
-            self._refused_document(data)
+            self._count_refusal_document(data)
             return
         if kind != "done":
-            self._world.violated(f"stream of {text!r} ended in {kind}")
+            self._world.add_violation(f"stream of {text!r} ended in {kind}")
             return
         self._world.counts["answered by stream"] += 1
         parts = "".join(d["text"] for k, d in events if k == "chunk")
@@ -104,48 +108,49 @@
 
     def _check_text(self, text: str, found: str) -> None:
         if found != expected_text(text, self._tokens):
-            self._world.violated(f"{text!r} was answered with {found!r}")
+            self._world.add_violation(f"{text!r} got the wrong answer {found!r}")
 
-    def _refused(self, content: bytes) -> None:
-        self._refused_document(msgspec.json.decode(content))
+    def _count_refusal(self, content: bytes) -> None:
+        self._count_refusal_document(msgspec.json.decode(content))
 
-    def _refused_document(self, document: dict[str, Any]) -> None:
+    def _count_refusal_document(self, document: dict[str, Any]) -> None:
         outcome = document["outcome"]
         self._world.counts[f"refused {outcome} {document['status']}"] += 1
         if outcome == "not_run" and document.get("request_id"):
             self.not_run_ids.append(document["request_id"])
 
-    # Effects, repeated through other entries
+    # Requests with effects, retried through any entry
 
     async def _effect(self, number: int) -> None:
         effect = Effect(f"order-{number}")
         self.effects.append(effect)
         repeats = self._random.choice((1, 1, 2, 3))
-        together = self._random.random() < 0.5
-        if together:
-            await asyncio.gather(*(self._place(effect) for _ in range(repeats)))
+        concurrent = self._random.random() < 0.5
+        if concurrent:
+            await asyncio.gather(*(self._send_order(effect) for _ in range(repeats)))
             return
         for _ in range(repeats):
-            await self._place(effect)
+            await self._send_order(effect)
 
-    async def _place(self, effect: Effect) -> None:
-        # Picked for each order: an entry picked before the last order was answered
-        # may have been stopped since, and a balancer would not send there.
+    async def _send_order(self, effect: Effect) -> None:
+        # Pick an entry for each order. One that was picked before the previous order
+        # was answered may have been stopped since, and a real balancer would no longer
+        # send requests to it.
         entry = await self._world.balancer.pick(self._random)
         await self._order(entry, effect)
 
     async def repeat_until_known(self, at_once: int) -> None:
-        """Repeat each order until it is answered or was not run."""
+        """Retry each order until its outcome is known: answered or not run."""
         effects = iter(self.effects)
 
-        async def work() -> None:
+        async def send_next() -> None:
             for effect in effects:
                 unknown = -1
                 while effect.unknown != unknown:
                     unknown = effect.unknown
-                    await self._place(effect)
+                    await self._send_order(effect)
 
-        await asyncio.gather(*(work() for _ in range(at_once)))
+        await asyncio.gather(*(send_next() for _ in range(at_once)))
 
     async def _order(self, entry: int, effect: Effect) -> None:
         headers = {"Idempotency-Key": effect.key}
@@ -185,16 +190,16 @@
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientError, TimeoutError) as error:
-            if not self._world.excused(entry, started, loop.time()):
-                self._world.violated(
-                    f"entry-{entry + 1} gave no whole answer: {error!r}"
+            if not self._world.was_disrupted(entry, started, loop.time()):
+                self._world.add_violation(
+                    f"entry-{entry + 1} sent no complete answer: {error!r}"
                 )
             self._world.counts["connection lost with its entry"] += 1
             return 0, b""
 
 
 def expected_text(text: str, tokens: int) -> str:
-    """Return the only right answer to a question."""
+    """Return the only correct answer to ``text``, of ``tokens`` words."""
     found = RetrieverStandIn("").answer({"query": text})
     kept = RerankerStandIn("").answer(found)["documents"]
     return "".join(words_for("\n".join([text, *kept]), tokens))
--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a randomised run, in a registry that decorators fill."""
+"""Faults of a randomised run, registered by the ``_fault`` decorator."""
 
 import asyncio
 import signal
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from amaranthtally.standins.chaos.world import HurtEntry, World
+from amaranthtally.standins.chaos.world import EntryDisruption, World
 from amaranthtally.standins.deployment import ADMIN_KEY
 from amaranthtally.standins.process import Process
 from amaranthtally.standins.relay import LinkFault
@@ -23,12 +23,12 @@
 
 
 def fault_names() -> list[str]:
-    """Return the registered faults."""
+    """Return the names of the registered faults, sorted."""
     return sorted(_FAULTS)
 
 
 async def inject(world: World, name: str) -> None:
-    """Cause a fault, and heal it."""
+    """Cause a fault and undo it after a random time."""
     world.counts[f"fault {name}"] += 1
     await _FAULTS[name](world)
 
@@ -43,11 +43,11 @@
 
 
 async def _with_knobs(
-    world: World, process: Process, knobs: dict[str, Any], healed: dict[str, Any]
+    world: World, process: Process, knobs: dict[str, Any], normal_knobs: dict[str, Any]
 ) -> None:
     await world.deployment.set_knobs(process, **knobs)
     await asyncio.sleep(_duration(world))
-    await world.deployment.set_knobs(process, **healed)
+    await world.deployment.set_knobs(process, **normal_knobs)
 
 
 # Sidecars
@@ -118,8 +118,8 @@
 async def _cut_streams(world: World) -> None:
     async with world.claim(world.endpoints("engine")) as name:
         cut = {"cut_after_tokens": world.random.randint(1, 4)}
-        healed = {"cut_after_tokens": 0}
-        await _with_knobs(world, world.pair(name).service, cut, healed)
+        normal_knobs = {"cut_after_tokens": 0}
+        await _with_knobs(world, world.pair(name).service, cut, normal_knobs)
 
 
 @_fault
@@ -176,20 +176,20 @@
 async def _kill_entry(world: World) -> None:
     async with world.claim(world.entries()) as name:
         number = world.entries().index(name)
-        hurt = _hurt(world, number)
+        disruption = _start_disruption(world, number)
         await world.deployment.entries[number].kill()
         await world.start_entry(number)
         await world.balancer.wait_ready(number)
-        hurt.end = asyncio.get_running_loop().time()
+        disruption.end = asyncio.get_running_loop().time()
 
 
 @_fault
 async def _freeze_entry(world: World) -> None:
     async with world.claim(world.entries()) as name:
         number = world.entries().index(name)
-        hurt = _hurt(world, number)
+        disruption = _start_disruption(world, number)
         await world.freeze(world.deployment.entries[number], _duration(world))
-        hurt.end = asyncio.get_running_loop().time()
+        disruption.end = asyncio.get_running_loop().time()
 
 
 @_fault
@@ -200,10 +200,10 @@
         await world.balancer.wait_ready(number)
 
 
-def _hurt(world: World, number: int) -> HurtEntry:
-    hurt = HurtEntry(number, asyncio.get_running_loop().time())
-    world.hurt.append(hurt)
-    return hurt
+def _start_disruption(world: World, number: int) -> EntryDisruption:
+    disruption = EntryDisruption(number, asyncio.get_running_loop().time())
+    world.disruptions.append(disruption)
+    return disruption
 
 
 # Operators
@@ -216,9 +216,9 @@
         _commit(world, number, {"pipeline:race": {"deadline_ms": 1000 + number}})
         for number in numbers
     ]
-    found = [number for number in await asyncio.gather(*changes) if number]
-    if len(found) != len(set(found)):
-        world.violated(f"two operators were given one change number: {found}")
+    committed = [number for number in await asyncio.gather(*changes) if number]
+    if len(committed) != len(set(committed)):
+        world.add_violation(f"two operators got the same change number: {committed}")
 
 
 @_fault
@@ -255,8 +255,9 @@
         return 0
 
 
-# A killed stand-in loses its records, and those of a plain service are the proof of
-# every effect: plain services freeze, fail and hang, but are not killed.
+# A killed stand-in loses its records. The checks need the records of plain services,
+# which list every effect, so plain services are frozen, made to fail or made to hang,
+# but never killed.
 
 
 @_fault
--- a/packages/standins/src/amaranthtally/standins/chaos/verdict.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/verdict.py
@@ -1,4 +1,4 @@
-"""Checks a randomised run against what the stand-ins recorded."""
+"""Checks the answers of a randomised run against the records of the stand-ins."""
 
 from collections import defaultdict
 
@@ -12,35 +12,41 @@
 
 
 async def check_records(world: World, callers: Callers) -> None:
-    """Note each promise that the records show to be broken."""
+    """Add a violation for each answer that contradicts the records."""
     await _check_effects(world, callers)
     await _check_not_run(world, callers)
 
 
 async def _check_effects(world: World, callers: Callers) -> None:
-    found: dict[str, list[str]] = defaultdict(list)
+    recorded_orders: dict[str, list[str]] = defaultdict(list)
     for pair in world.deployment.pool(EFFECT_POOL):
         for record in await world.deployment.records(pair.service):
             key = record["input"]["to"]
-            found[key].append(f"{pair.service.name}-{record['number']}")
+            recorded_orders[key].append(f"{pair.service.name}-{record['number']}")
     for effect in callers.effects:
-        orders = found[effect.key]
-        told = set(effect.orders)
+        orders = recorded_orders[effect.key]
+        answered = set(effect.orders)
         if len(orders) > 1:
-            world.violated(f"{effect.key} has {len(orders)} effects: {orders}")
-        if not told <= set(orders):
-            world.violated(f"{effect.key} was told {told}, recorded {orders}")
-        if orders and not told and not effect.unknown:
-            world.violated(f"{effect.key} has an effect, all were told not_run")
-    world.counts["effects recorded"] = sum(len(orders) for orders in found.values())
+            world.add_violation(f"{effect.key} has {len(orders)} effects: {orders}")
+        if not answered <= set(orders):
+            world.add_violation(
+                f"{effect.key} was answered {answered}, recorded {orders}"
+            )
+        if orders and not answered and not effect.unknown:
+            world.add_violation(
+                f"{effect.key} has an effect, but every answer was not_run"
+            )
+    world.counts["effects recorded"] = sum(
+        len(orders) for orders in recorded_orders.values()
+    )
 
 
 async def _check_not_run(world: World, callers: Callers) -> None:
-    ran = set()
+    run_ids = set()
     for pair in world.deployment.pool(ENGINE_POOL):
-        ran |= {
+        run_ids |= {
             r.get("request_id") for r in await world.deployment.records(pair.service)
         }
     for request_id in callers.not_run_ids:
-        if request_id in ran:
-            world.violated(f"{request_id} was told not_run and has run")
+        if request_id in run_ids:
+            world.add_violation(f"{request_id} was answered not_run but has run")
