--- a/packages/standins/src/amaranthtally/standins/chaos/callers.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/callers.py
@@ -36,7 +36,7 @@
 
 
 class Callers:
-    The answers that requests with one idempotency key received.
+    """Sends requests and adds a violation for each wrong or missing answer."""
 
     def __init__(
         self,
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -1,7 +1,7 @@
 """
-A deployment on loopback, described in TOML, made of real processes.
+Start a deployment of real processes on loopback, as a TOML plan describes it.
 
-It is for tests, the bench and the quickstart; the system never starts processes.
+For tests, the bench and the quickstart. The production code starts no processes.
 """
 
 import asyncio
@@ -48,7 +48,11 @@
 
 
 class EndpointPair(msgspec.Struct):
-    """A stand-in endpoint and the sidecar beside it."""
+    """
+    A stand-in endpoint and its sidecar.
+
+    ``sidecar_file`` is the sidecar's settings file.
+    """
 
     id: str
     pool: str
@@ -61,7 +65,7 @@
 
     @property
     def address(self) -> str:
-        """Address of the sidecar's inner protocol."""
+        """Address at which the sidecar serves the sidecar protocol."""
         return f"127.0.0.1:{self.sidecar.ports['port']}"
 
     @property
@@ -70,7 +74,7 @@
         return f"http://127.0.0.1:{self.service.ports['port']}"
 
     def registration(self) -> dict[str, Any]:
-        """Return the endpoint's registration in the tree of settings."""
+        """Return the endpoint's registration for the settings tree."""
         return {
             "pool": self.pool,
             "host": self.host,
@@ -81,7 +85,7 @@
 
 
 class Deployment:
-    """The running processes; owned by an exit stack."""
+    """The processes of a deployment, which end when the exit stack is closed."""
 
     def __init__(
         self, plan: DeploymentPlan, folder: Path, stack: AsyncExitStack
@@ -103,7 +107,7 @@
         return f"http://127.0.0.1:{self.platform.ports['port']}"
 
     def entry_url(self, number: int = 0) -> str:
-        """URL at which callers reach an entry."""
+        """URL of an entry's API for callers."""
         return f"http://127.0.0.1:{self.entries[number].ports['port']}"
 
     def admin_url(self, number: int = 0) -> str:
@@ -132,7 +136,7 @@
     async def start_standin_at(
         self, name: str, kind: str, port: int, knobs: dict[str, Any]
     ) -> Process:
-        """Start a stand-in again at a port that it had."""
+        """Start a stand-in at a given port, for instance after it was killed."""
         pairs = [f"{key}={value}" for key, value in knobs.items()]
         return await self._start_standin(name, kind, f"{LOOPBACK}:{port}", pairs)
 
@@ -152,13 +156,13 @@
         return process
 
     async def spawn_daemon(self, role: str, name: str, file: Path) -> Process:
-        """Start a daemon without waiting; it ends with the deployment."""
+        """Start a daemon without waiting until it listens."""
         process = await spawn_process(name, DAEMON, role, "--settings", file)
         self._stack.push_async_callback(process.kill)
         return process
 
     async def start_endpoints(self, servers: int | None, **overrides: Any) -> None:
-        """Start the endpoints of every pool at once; they are kept in their order."""
+        """Start the endpoints of all pools concurrently, kept in the plan's order."""
         starts = [
             self.start_endpoint(pool, number, **overrides)
             for pool in self.plan.pools
@@ -170,19 +174,19 @@
     async def start_endpoint(
         self, pool: Pool, number: int, **overrides: Any
     ) -> EndpointPair:
-        """Start a stand-in and its sidecar, in the regions by turns."""
+        """Start a stand-in and its sidecar; regions are assigned round-robin."""
         region = self.plan.regions[number % len(self.plan.regions)]
         name = f"{pool.name}-{number + 1}"
         knobs = [f"{key}={value}" for key, value in pool.knobs.items()]
         service = await self.start_standin(name, pool.kind, *knobs)
-        place = {
+        location = {
             "endpoint": name,
             "host": f"host-{name}",
             "region": region.name,
             "data_centre": region.data_centres[0],
         }
         settings = {
-            **place,
+            **location,
             "wire_address": self.own_address(),
             "http_address": self.own_address(),
             "endpoint_url": f"http://127.0.0.1:{service.ports['port']}",
@@ -200,7 +204,7 @@
             pool.name,
             region.name,
             region.data_centres[0],
-            place["host"],
+            location["host"],
             service,
             sidecar,
             file,
@@ -208,7 +212,7 @@
         return pair
 
     async def start_entry(self, **overrides: Any) -> Process:
-        """Start an entry, in the regions by turns."""
+        """Start the next entry; entries are assigned to the regions round-robin."""
         number = len(self.entries)
         region = self.plan.regions[number % len(self.plan.regions)]
         name = f"entry-{number + 1}"
@@ -239,7 +243,7 @@
     # Settings
 
     def first_settings(self) -> dict[str, dict[str, Any]]:
-        """Return the tree to apply first: the plan's, accounts, endpoints."""
+        """Return the initial tree: the plan's settings, accounts and endpoints."""
         from hashlib import sha256
 
         tree: dict[str, dict[str, Any]] = {k: dict(v) for k, v in self._flat().items()}
@@ -279,14 +283,14 @@
             response.raise_for_status()
 
     async def records(self, process: Process) -> list[dict[str, Any]]:
-        """Return what a stand-in recorded."""
+        """Return the records of a stand-in."""
         url = f"http://127.0.0.1:{process.ports['port']}/_records"
         async with self.http.get(url) as response:
             found: list[dict[str, Any]] = await response.json()
             return found
 
     async def wait_ready(self, number: int = 0) -> None:
-        """Return once an entry is ready."""
+        """Wait until an entry is ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 async with self.http.get(self.entry_url(number) + "/readyz") as found:
@@ -295,7 +299,7 @@
                 await asyncio.sleep(READY_POLL_S)
 
     async def wait_revision(self, revision: int, number: int = 0) -> None:
-        """Return once an entry has a settings revision in force."""
+        """Wait until an entry applies a settings revision or a later one."""
         headers = {"Authorization": f"Bearer {ADMIN_KEY}"}
         url = self.admin_url(number) + "/admin/v1/status"
         async with asyncio.timeout(READY_TIMEOUT_S):
@@ -316,7 +320,7 @@
         key: str = "",
         **body: Any,
     ) -> aiohttp.ClientResponse:
-        """Send a request as a client account; the body has been read."""
+        """Send a request as a client account; the response's body has been read."""
         headers = {"Authorization": f"Bearer {self.plan.accounts[account].key}"}
         if key:
             headers["Idempotency-Key"] = key
@@ -338,9 +342,9 @@
     sidecar_overrides: dict[str, Any] | None = None,
 ) -> AsyncIterator[Deployment]:
     """
-    Start a whole deployment, apply its settings, and end it on exit.
+    Start all processes of a deployment, apply its settings, and end it on exit.
 
-    ``servers`` caps the servers of each pool.
+    ``servers`` limits the number of servers of each pool.
     """
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
--- a/packages/standins/src/amaranthtally/standins/engine.py
+++ b/packages/standins/src/amaranthtally/standins/engine.py
@@ -1,8 +1,8 @@
 """
 Fake model engine: OpenAI-style completions with server-sent events.
 
-The text is a function of the prompt alone, so that a stream resumed on another
-engine continues with the same words.
+The text depends only on the prompt, so that a stream resumed on another engine
+continues with the same words.
 """
 
 import asyncio
@@ -49,30 +49,34 @@
 
     @property
     def name(self) -> str:
-        """The name under which calls ask for what the order loads."""
+        """The model name by which calls select what this order loads."""
         adapter = f"+{self.adapter}" if self.adapter else ""
         version = f"@{self.version}" if self.version else ""
         return self.model + adapter + version
 
 
 def words_for(prompt: str, count: int) -> list[str]:
-    """Return the words that every engine gives for a prompt."""
+    """Return the first ``count`` words that every engine generates for a prompt."""
     seed = sha256(prompt.encode()).digest()
     return [WORDS[(seed[i % len(seed)] + i) % len(WORDS)] + " " for i in range(count)]
 
 
 def prefix_blocks(prompt: str, salt: str = "") -> list[str]:
-    """Return the digests of a prompt's blocks, each covering all before it."""
-    whole = len(prompt) // BLOCK_CHARS
+    """
+    Return the digests of a prompt's complete blocks.
+
+    Each digest covers the prompt from its start to the end of the block.
+    """
+    complete_blocks = len(prompt) // BLOCK_CHARS
     return [
         sha256((salt + prompt[: (i + 1) * BLOCK_CHARS]).encode()).hexdigest()[:16]
-        for i in range(whole)
+        for i in range(complete_blocks)
     ]
 
 
 @standin
 class EngineStandIn(StandIn):
-    """Streams words; keeps a prefix cache; takes orders with fencing numbers."""
+    """Streams words, keeps a prefix cache and executes orders with fencing numbers."""
 
     kind = "engine"
 
@@ -101,46 +105,48 @@
         app.router.add_post("/v1/orders", self._take_order)
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
-        wanted = msgspec.json.decode(await request.read(), type=_Completion)
-        if not self._answers(wanted.model):
-            return json_response({"error": f"no model {wanted.model}"}, 404)
-        self._note_load(1)
+        completion = msgspec.json.decode(await request.read(), type=_Completion)
+        if not self._serves(completion.model):
+            return json_response({"error": f"no model {completion.model}"}, 404)
+        self._add_load(1)
         try:
             fault = await self.before_effect()
             if fault is not None:
                 return fault
-            hits = self._use_cache(wanted.prompt, wanted.cache_salt)
+            hits = self._use_cache(completion.prompt, completion.cache_salt)
             self.records.append(
                 {
-                    "request_id": wanted.request_id,
-                    "resume_offset": wanted.resume_offset,
+                    "request_id": completion.request_id,
+                    "resume_offset": completion.resume_offset,
                     "cached_blocks": hits,
-                    "blocks": len(wanted.prompt) // BLOCK_CHARS,
-                    "model": wanted.model,
+                    "blocks": len(completion.prompt) // BLOCK_CHARS,
+                    "model": completion.model,
                 }
             )
-            missed = len(wanted.prompt) // BLOCK_CHARS - hits
-            await asyncio.sleep(missed * self.knobs.block_time)
-            words = words_for(wanted.prompt, wanted.max_tokens or self.knobs.tokens)
-            if not wanted.stream:
+            missed_blocks = len(completion.prompt) // BLOCK_CHARS - hits
+            await asyncio.sleep(missed_blocks * self.knobs.block_time)
+            words = words_for(
+                completion.prompt, completion.max_tokens or self.knobs.tokens
+            )
+            if not completion.stream:
                 await self.after_effect()
                 return json_response(_chunk("".join(words)))
-            return await self._stream(request, wanted, words)
+            return await self._stream(request, completion, words)
         finally:
-            self._note_load(-1)
+            self._add_load(-1)
 
     async def _stream(
-        self, request: web.Request, wanted: _Completion, words: list[str]
+        self, request: web.Request, completion: _Completion, words: list[str]
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        for sent, word in enumerate(words[wanted.resume_offset :], start=1):
+        for sent, word in enumerate(words[completion.resume_offset :], start=1):
             if self.knobs.token_time:
                 await asyncio.sleep(self.knobs.token_time)
-            if wanted.request_id in self._cancelled:
+            if completion.request_id in self._cancelled:
                 break
-            if not self._answers(wanted.model):
-                self._cut(request, wanted)
+            if not self._serves(completion.model):
+                self._cut_stream(request, completion)
                 return response
             await response.write(
                 b"data: " + msgspec.json.encode(_chunk(word)) + b"\n\n"
@@ -154,13 +160,13 @@
         await response.write_eof()
         return response
 
-    def _cut(self, request: web.Request, wanted: _Completion) -> None:
-        self.records.append({"cut": wanted.request_id, "model": wanted.model})
+    def _cut_stream(self, request: web.Request, completion: _Completion) -> None:
+        self.records.append({"cut": completion.request_id, "model": completion.model})
         if request.transport is not None:
             request.transport.abort()
 
-    def _answers(self, model: str) -> bool:
-        """Whether a model can be asked; any, as long as none was ever loaded."""
+    def _serves(self, model: str) -> bool:
+        """Whether the engine serves a model; it serves any wait_until its first order."""
         if self._role == "prefill":
             return False
         return not model or not self._fencing or model in self._models
@@ -169,15 +175,15 @@
         self._cancelled.add(request.match_info["request_id"])
         return web.Response(text="ok\n")
 
-    # Load, late
+    # Load, reported with a delay of ``load_lag``
 
-    def _note_load(self, step: int) -> None:
+    def _add_load(self, step: int) -> None:
         self._running += step
         self._loads.append((time.monotonic(), self._running))
 
     async def _read_load(self, _: web.Request) -> web.Response:
-        seen = time.monotonic() - self.knobs.load_lag
-        running = [load for at, load in self._loads if at <= seen]
+        latest_visible = time.monotonic() - self.knobs.load_lag
+        running = [load for at, load in self._loads if at <= latest_visible]
         return json_response(
             {
                 "running": running[-1] if running else 0,
@@ -186,7 +192,7 @@
             }
         )
 
-    # Prefix cache, its events late and with gaps
+    # Prefix cache; events are delayed by ``event_lag``, every ``event_gap``-th is lost
 
     def _use_cache(self, prompt: str, salt: str) -> int:
         hits = 0
@@ -213,22 +219,22 @@
         self._events.append((time.monotonic(), self._event_serial, kind, block))
 
     async def _read_events(self, request: web.Request) -> web.Response:
-        """Answer with the events after a serial; waits a while for the first."""
-        known = request.query.get("epoch", "") == self._epoch
-        after = int(request.query.get("after", "0")) if known else 0
-        until = time.monotonic() + float(request.query.get("wait", "0"))
+        """Return the events after a serial; wait up to ``wait`` s for the first."""
+        same_epoch = request.query.get("epoch", "") == self._epoch
+        after = int(request.query.get("after", "0")) if same_epoch else 0
+        wait_until = time.monotonic() + float(request.query.get("wait", "0"))
         events = self._events_after(after)
-        while not events and known and time.monotonic() < until:
+        while not events and same_epoch and time.monotonic() < wait_until:
             await asyncio.sleep(EVENT_POLL_S)
             events = self._events_after(after)
         return json_response({"epoch": self._epoch, "events": events})
 
     def _events_after(self, after: int) -> list[dict[str, Any]]:
-        seen = time.monotonic() - self.knobs.event_lag
+        latest_visible = time.monotonic() - self.knobs.event_lag
         return [
             {"serial": serial, "kind": kind, "block": block}
             for at, serial, kind, block in self._events
-            if serial > after and at <= seen
+            if serial > after and at <= latest_visible
         ]
 
     async def _export_block(self, request: web.Request) -> web.Response:
@@ -254,7 +260,7 @@
         if self.knobs.fencing and order.fencing < self._fencing:
             return json_response({"error": "old fencing number"}, 409)
         self._fencing = max(self._fencing, order.fencing)
-        self._obey(order)
+        self._execute(order)
         self.records.append(
             {
                 "order": order.name or order.role,
@@ -267,7 +273,7 @@
             request.transport.abort()
         return json_response({"models": self._models, "role": self._role})
 
-    def _obey(self, order: _Order) -> None:
+    def _execute(self, order: _Order) -> None:
         if order.action == "role":
             self._role = order.role
         elif order.action == "unload":
--- a/packages/standins/src/amaranthtally/standins/plain.py
+++ b/packages/standins/src/amaranthtally/standins/plain.py
@@ -1,4 +1,4 @@
-"""Fake plain service: calls with effects, each one recorded."""
+"""Fake plain service, whose calls have effects that are recorded."""
 
 import msgspec
 from aiohttp import web
@@ -10,7 +10,7 @@
 
 @standin
 class PlainStandIn(StandIn):
-    """``POST /v1/{operation}``; the record is the list of effects."""
+    """Serves ``POST /v1/{operation}``; each record stands for one effect."""
 
     kind = "plain"
 
--- a/packages/standins/src/amaranthtally/standins/plan.py
+++ b/packages/standins/src/amaranthtally/standins/plan.py
@@ -1,4 +1,4 @@
-"""What a deployment on loopback is made of, as its TOML file says."""
+"""The plan of a deployment on loopback, read from a TOML file."""
 
 from pathlib import Path
 from typing import Any
@@ -16,7 +16,7 @@
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Servers of one kind; ``knobs`` go to the stand-ins as they start."""
+    """Servers of one kind; ``knobs`` are the initial knobs of its stand-ins."""
 
     name: str
     kind: str
@@ -41,7 +41,7 @@
 
 
 class DeploymentPlan(msgspec.Struct, frozen=True):
-    """What stands where; ``settings`` is the tree, by scope, to apply at first."""
+    """The parts of a deployment; ``settings`` is the initial tree, by scope."""
 
     name: str
     latency_ms: Latency
--- a/packages/standins/src/amaranthtally/standins/platform.py
+++ b/packages/standins/src/amaranthtally/standins/platform.py
@@ -1,8 +1,8 @@
 """
 Fake platform: key-value service, list of hosts, rate-limited weight store.
 
-The key-value calls follow the well-known HTTP form of such stores: ``/v1/kv``
-with ``cas``, ``recurse``, ``index``/``wait``; sessions with a TTL as leases.
+The key-value calls follow Consul's HTTP API: ``/v1/kv`` with the parameters ``cas``,
+``recurse``, ``index`` and ``wait``; sessions with a TTL serve as leases.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 @standin
 class PlatformStandIn(StandIn):
-    """Keeps everything in memory and counts each call by kind and caller."""
+    """Keeps its state in memory and counts the calls by caller and kind."""
 
     kind = "platform"
 
@@ -73,7 +73,9 @@
 
     async def _read(self, request: web.Request) -> web.Response:
         watch = "index" in request.query
-        fault = await self._fault(request, "watch" if watch else "read")
+        fault = await self._count_and_inject_fault(
+            request, "watch" if watch else "read"
+        )
         if fault is not None:
             return fault
         key = request.match_info["key"]
@@ -84,14 +86,14 @@
             if self.knobs.outage:
                 return web.Response(status=503, text="outage by a knob")
         self._expire_sessions()
-        found = self._match(key, recurse)
-        headers = {INDEX_HEADER: str(self._prefix_index(found))}
-        if not found:
+        items = self._match(key, recurse)
+        headers = {INDEX_HEADER: str(self._prefix_index(items))}
+        if not items:
             return json_response([], 404, **headers)
-        return json_response([_row(k, i) for k, i in found], 200, **headers)
+        return json_response([_row(k, i) for k, i in items], 200, **headers)
 
     async def _write(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "write")
+        fault = await self._count_and_inject_fault(request, "write")
         if fault is not None:
             return fault
         key = request.match_info["key"]
@@ -99,18 +101,18 @@
         if len(value) > MAX_VALUE_BYTES:
             return web.Response(status=413, text="value over a megabyte")
         self._expire_sessions()
-        done = self._may_write(key, request) and self._may_acquire(key, request)
-        if done:
+        is_applied = self._may_write(key, request) and self._may_acquire(key, request)
+        if is_applied:
             self._store(key, value, request)
-            await self._announce()
+            await self._notify_watches()
         if self.knobs.lose_answers > 0:
             self.knobs.lose_answers -= 1
             if request.transport is not None:
                 request.transport.abort()
-        return web.Response(text="true" if done else "false")
+        return web.Response(text="true" if is_applied else "false")
 
     async def _delete(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "write")
+        fault = await self._count_and_inject_fault(request, "write")
         if fault is not None:
             return fault
         key = request.match_info["key"]
@@ -119,7 +121,7 @@
         for name, _ in self._match(key, "recurse" in request.query):
             del self._items[name]
         self._index += 1
-        await self._announce()
+        await self._notify_watches()
         return web.Response(text="true")
 
     def _may_write(self, key: str, request: web.Request) -> bool:
@@ -133,8 +135,8 @@
         if not session:
             return True
         item = self._items.get(key)
-        held = item.session if item else ""
-        return session in self._sessions and held in ("", session)
+        lock_holder = item.session if item else ""
+        return session in self._sessions and lock_holder in ("", session)
 
     def _store(self, key: str, value: bytes, request: web.Request) -> None:
         self._index += 1
@@ -150,8 +152,8 @@
             return [(key, self._items[key])] if key in self._items else []
         return sorted((k, i) for k, i in self._items.items() if k.startswith(key))
 
-    def _prefix_index(self, found: list[tuple[str, _Item]]) -> int:
-        return max((item.modify_index for _, item in found), default=self._index)
+    def _prefix_index(self, items: list[tuple[str, _Item]]) -> int:
+        return max((item.modify_index for _, item in items), default=self._index)
 
     async def _wait_for_change(
         self, key: str, recurse: bool, index: int, wait: float
@@ -169,25 +171,27 @@
             except TimeoutError:
                 return
 
-    async def _announce(self) -> None:
+    async def _notify_watches(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
     # Leases
 
     async def _create_session(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "write")
+        fault = await self._count_and_inject_fault(request, "write")
         if fault is not None:
             return fault
         body = await request.read()
-        wanted = msgspec.json.decode(body, type=_Session) if body else _Session()
-        ttl = float(wanted.TTL.rstrip("s"))
+        session_request = (
+            msgspec.json.decode(body, type=_Session) if body else _Session()
+        )
+        ttl = float(session_request.TTL.rstrip("s"))
         session = secrets.token_hex(8)
         self._sessions[session] = (time.monotonic() + ttl, ttl)
         return json_response({"ID": session})
 
     async def _renew_session(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "write")
+        fault = await self._count_and_inject_fault(request, "write")
         if fault is not None:
             return fault
         self._expire_sessions()
@@ -199,11 +203,11 @@
         return json_response([{"ID": session}])
 
     async def _destroy_session(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "write")
+        fault = await self._count_and_inject_fault(request, "write")
         if fault is not None:
             return fault
         self._sessions.pop(request.match_info["id"], None)
-        self._release_lost()
+        self._release_expired_locks()
         return web.Response(text="true")
 
     def _expire_sessions(self) -> None:
@@ -211,9 +215,9 @@
         for session, (expires, _) in list(self._sessions.items()):
             if expires <= now:
                 del self._sessions[session]
-        self._release_lost()
+        self._release_expired_locks()
 
-    def _release_lost(self) -> None:
+    def _release_expired_locks(self) -> None:
         for item in self._items.values():
             if item.session and item.session not in self._sessions:
                 item.session = ""
@@ -221,11 +225,13 @@
     # Hosts and weights
 
     async def _list_hosts(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "hosts")
+        fault = await self._count_and_inject_fault(request, "hosts")
         if fault is not None:
             return fault
-        visible = time.monotonic() - self.knobs.host_lag
-        states = {host: state for at, host, state in self._hosts if at <= visible}
+        latest_visible = time.monotonic() - self.knobs.host_lag
+        states = {
+            host: state for at, host, state in self._hosts if at <= latest_visible
+        }
         rows = [{"host": h, "state": s} for h, s in states.items()]
         tag = f'"{sha256(msgspec.json.encode(rows)).hexdigest()[:TAG_DIGITS]}"'
         if request.headers.get(hdrs.IF_NONE_MATCH) == tag:
@@ -238,7 +244,7 @@
         return web.Response(text="ok\n")
 
     async def _read_weights(self, request: web.Request) -> web.Response:
-        fault = await self._fault(request, "weights")
+        fault = await self._count_and_inject_fault(request, "weights")
         if fault is not None:
             return fault
         now = time.monotonic()
@@ -252,7 +258,9 @@
 
     # Faults and counts
 
-    async def _fault(self, request: web.Request, kind: str) -> web.Response | None:
+    async def _count_and_inject_fault(
+        self, request: web.Request, kind: str
+    ) -> web.Response | None:
         caller = request.headers.get(CALLER_HEADER, "unknown")
         self._counts[f"{caller} {kind}"] += 1
         if self.knobs.outage:
--- a/packages/standins/src/amaranthtally/standins/pools.py
+++ b/packages/standins/src/amaranthtally/standins/pools.py
@@ -15,7 +15,7 @@
 KEPT_DOCUMENTS = 3
 
 
-class _Pool(StandIn):
+class _PoolStandIn(StandIn):
     path = ""
 
     def add_routes(self, app: web.Application) -> None:
@@ -35,22 +35,22 @@
 
 
 @standin
-class EncoderStandIn(_Pool):
-    """``POST /v1/embeddings``."""
+class EncoderStandIn(_PoolStandIn):
+    """Serves ``POST /v1/embeddings``."""
 
     kind = "encoder"
     path = "/v1/embeddings"
 
     def answer(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Return a vector made of the input's digest."""
+        """Return a vector that is computed from the input's digest."""
         digest = sha256(msgspec.json.encode(body["input"])).digest()
         vector = [byte / 255 for byte in digest[:DIMENSIONS]]
         return {"data": [{"index": 0, "embedding": vector}]}
 
 
 @standin
-class RetrieverStandIn(_Pool):
-    """``POST /v1/search``."""
+class RetrieverStandIn(_PoolStandIn):
+    """Serves ``POST /v1/search``."""
 
     kind = "retriever"
     path = "/v1/search"
@@ -62,13 +62,13 @@
 
 
 @standin
-class RerankerStandIn(_Pool):
-    """``POST /v1/rerank``."""
+class RerankerStandIn(_PoolStandIn):
+    """Serves ``POST /v1/rerank``."""
 
     kind = "reranker"
     path = "/v1/rerank"
 
     def answer(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Return the documents in a fixed order of preference, the best few."""
+        """Return the best ``KEPT_DOCUMENTS`` documents, ranked by their digests."""
         ranked = sorted(body["documents"], key=lambda d: sha256(d.encode()).digest())
         return {"documents": ranked[:KEPT_DOCUMENTS]}
--- a/packages/standins/src/amaranthtally/standins/ports.py
+++ b/packages/standins/src/amaranthtally/standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback that belong to a process also while it is down."""
+"""Loopback ports that stay reserved for a process while it is not running."""
 
 import socket
 from collections.abc import Iterator
@@ -14,11 +14,13 @@
     """
     Yield a port for processes that listen on it one after another.
 
-    A port that is only known to be free is given to whoever asks for any port, or
-    calls out, before the process listens. A bound socket that never listens keeps
-    the kernel from that, and lets in a listener that allows reuse.
+    The kernel may assign a port that is merely free to another process, as an
+    ephemeral port of a listener or of an outgoing connection, before the intended
+    process listens on it. This function binds a socket that never listens: the kernel
+    then no longer assigns the port, and a listener that sets ``SO_REUSEADDR`` can
+    still use it.
     """
-    with socket.socket() as held:
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.bind((LOOPBACK, 0))
-        yield held.getsockname()[1]
+    with socket.socket() as reservation:
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reservation.bind((LOOPBACK, 0))
+        yield reservation.getsockname()[1]
--- a/packages/standins/src/amaranthtally/standins/process.py
+++ b/packages/standins/src/amaranthtally/standins/process.py
@@ -1,4 +1,4 @@
-"""Start, watch and end one process of a test deployment."""
+"""Start, monitor and end a child process of a test deployment."""
 
 import asyncio
 import os
@@ -20,7 +20,7 @@
 
 
 class StartError(Exception):
-    """A process ended, or said nothing, instead of listening."""
+    """A process ended or timed out before it logged that it listens."""
 
 
 class Process:
@@ -41,11 +41,11 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code, or ``None`` while it runs."""
+        """The exit code, or ``None`` while the process runs."""
         return self._child.returncode
 
     async def wait_listening(self) -> None:
-        """Return once it listens; raises ``StartError``."""
+        """Wait until the process listens; raises ``StartError``."""
         listening = asyncio.create_task(self._listening.wait())
         done, _ = await asyncio.wait(
             {listening, self._reader},
@@ -58,35 +58,35 @@
             raise StartError(f"{self.name} did not start:\n{tail}")
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone; nothing once it has ended."""
+        """Send a signal to this process; do nothing if it has ended."""
         if self._child.returncode is not None:
             return
-        # The child's own method takes its exit status away from the loop where it has
-        # just ended, and the loop then reports 255.
+        # The child's send_signal() would reap the exit status of a process that has
+        # just ended before the event loop does, and the loop would then report 255.
         with suppress(ProcessLookupError):
             os.kill(self._child.pid, number)
 
     def stop_reading(self) -> None:
-        """Read nothing more of its output, as a collector that hangs."""
+        """Stop reading the process's output, as a log collector that hangs does."""
         self._output().pause_reading()
 
     def go_on_reading(self) -> None:
-        """Read its output again."""
+        """Resume reading the process's output."""
         self._output().resume_reading()
 
     def _output(self) -> asyncio.ReadTransport:
-        # The pipe is asyncio's own; nothing public pauses it.
+        # asyncio has no public way to pause the pipe of a child process.
         transport = self._child._transport  # type: ignore[attr-defined]  # noqa: SLF001
         return cast(asyncio.ReadTransport, transport.get_pipe_transport(1))
 
     async def wait(self) -> int:
-        """Return the exit code once the process has ended and its log is read."""
+        """Wait until the process has ended and its output is read."""
         code = await self._child.wait()
         await asyncio.wait({self._reader})
         return code
 
     async def stop(self) -> int:
-        """End it gracefully, or by force after a time; return the exit code."""
+        """Send SIGTERM, and SIGKILL after ``STOP_TIMEOUT_S``; return the exit code."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         try:
@@ -96,7 +96,7 @@
             return await self.kill()
 
     async def kill(self) -> int:
-        """End it by force."""
+        """Send SIGKILL, wait for the end and return the exit code."""
         self.send(signal.SIGKILL)
         code = await self._child.wait()
         with suppress(asyncio.CancelledError):
@@ -116,7 +116,7 @@
 
 
 async def spawn_process(name: str, module: str, *arguments: str | Path) -> Process:
-    """Run ``python -m module`` without waiting for it."""
+    """Run ``python -m module`` without waiting until it listens."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/packages/standins/src/amaranthtally/standins/registry.py
+++ b/packages/standins/src/amaranthtally/standins/registry.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: fault knobs, records, a registry of kinds."""
+"""Common parts of all stand-ins: fault knobs, records and the registry of kinds."""
 
 import asyncio
 import json
@@ -18,13 +18,14 @@
 
 class Knobs(msgspec.Struct):
     """
-    Faults and sizes; times in seconds.
-
-    ``die_before``/``die_after`` end the process at the n-th call, before or after
-    its effect. ``stuck`` never answers, ``stuck_after`` does so after the effect.
-    ``fail_rate`` answers 500 to that share of calls, counted, not drawn.
-    ``block_time`` is what an engine takes for each block that it has not cached.
-    ``lose_orders`` obeys so many orders without an answer.
+    Faults, delays and sizes that a test can set; times are in seconds.
+
+    ``die_before`` and ``die_after`` end the process at the n-th call, before or after
+    its effect. With ``stuck`` a call never has an effect or an answer; with
+    ``stuck_after`` it has its effect but is never answered. ``fail_rate`` is the share
+    of calls that get status 500; it is spread evenly by counting calls, not at random.
+    ``block_time`` is the time that an engine takes for each block that is not in its
+    cache. ``lose_orders`` is the number of orders that are executed but not answered.
     """
 
     slow: float = 0.0
@@ -58,7 +59,7 @@
 
 
 class StandIn:
-    """A fake service: routes of its own, plus knobs and records."""
+    """A fake service with knobs, records and the routes that a subclass adds."""
 
     kind: ClassVar[str] = ""
 
@@ -82,7 +83,7 @@
         return app
 
     async def before_effect(self) -> web.Response | None:
-        """Apply the faults that come before a call's effect."""
+        """Apply the faults before a call's effect; return an error response, if any."""
         self._calls += 1
         if self._calls == self.knobs.die_before:
             self._die()
@@ -98,14 +99,14 @@
         return None
 
     async def after_effect(self) -> None:
-        """Apply the faults that come after a call's effect, before its answer."""
+        """Apply the faults between a call's effect and its answer."""
         if self.knobs.die_after and self._calls >= self.knobs.die_after:
             self._die()
         if self.knobs.stuck_after:
             await asyncio.Event().wait()
 
     def _die(self) -> None:
-        # The records end with the process; who judges a run still needs them.
+        # The records are lost with the process, but the checks after a run need them.
         for record in self.records:
             sys.stderr.write(f"event=died record={json.dumps(record)}\n")
         sys.stderr.flush()
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay for tests: a link that can stand still, lose bytes, break, or be thin."""
+"""A TCP relay for tests that can delay or lose bytes, reset, or limit the rate."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,20 +11,22 @@
 __all__ = ["LinkFault", "Relay", "ThinLink", "open_relays"]
 
 CHUNK_BYTES = 65_536
-# What one connection sends over a thin link before the next one has its turn.
-THIN_CHUNK_BYTES = 4096
-# What a thin link catches up on at most, in seconds, where its sleeps took longer than
-# asked for: on a busy host its rate would otherwise be far below what a test counts on.
-CAUGHT_UP_S = 0.2
+# Bytes that a connection sends over a rate-limited link before the next one's turn.
+RATE_LIMITED_CHUNK_BYTES = 4096
+# When a sleep took too long, a rate-limited link makes up for at most this time, in
+# seconds. Otherwise its rate on a busy host would be far below the one that a test
+# expects.
+MAX_CATCH_UP_S = 0.2
 
 
 class LinkFault(Enum):
     """
     How a link fails.
 
-    ``HELD`` delivers what was sent late, once it is healed, as retransmission does;
-    ``HALF_OPEN`` loses it, as where the peer's state is gone; ``ANSWERS_LOST`` does
-    so in one direction only.
+    ``RESET`` aborts the open connections. ``HELD`` holds bytes back and delivers them
+    once the link is healed, as retransmission does. ``HALF_OPEN`` drops the bytes of
+    both directions, as when the peer has lost the connection's state.
+    ``ANSWERS_LOST`` drops only the bytes of replies.
     """
 
     RESET = "reset"
@@ -33,22 +35,22 @@
     ANSWERS_LOST = "answers lost"
 
 
-class _Way(Enum):
+class _DirectionMode(Enum):
     FORWARD = "forward"
     HOLD = "hold"
-    SWALLOW = "swallow"
+    DROP = "swallow"
 
 
-_WAYS = {
-    LinkFault.RESET: (_Way.FORWARD, _Way.FORWARD),
-    LinkFault.HELD: (_Way.HOLD, _Way.HOLD),
-    LinkFault.HALF_OPEN: (_Way.SWALLOW, _Way.SWALLOW),
-    LinkFault.ANSWERS_LOST: (_Way.FORWARD, _Way.SWALLOW),
+_FAULT_MODES = {
+    LinkFault.RESET: (_DirectionMode.FORWARD, _DirectionMode.FORWARD),
+    LinkFault.HELD: (_DirectionMode.HOLD, _DirectionMode.HOLD),
+    LinkFault.HALF_OPEN: (_DirectionMode.DROP, _DirectionMode.DROP),
+    LinkFault.ANSWERS_LOST: (_DirectionMode.FORWARD, _DirectionMode.DROP),
 }
 
 
 class ThinLink:
-    """A rate in bytes a second that the replies of several relays share in turn."""
+    """A limit in bytes per second that the replies of several relays share."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
@@ -58,25 +60,25 @@
 
     @property
     def bytes_per_s(self) -> float:
-        """The rate that all connections share."""
+        """The rate that all connections share, in bytes per second."""
         return self._bytes_per_s
 
     @property
     def carried(self) -> int:
-        """Bytes that went through."""
+        """Bytes sent over the link so far."""
         return self._carried
 
     async def carry(self, size: int) -> None:
         """
-        Wait until so many bytes have gone through.
+        Wait until ``size`` bytes have been sent at the link's rate.
 
-        Only what a sleep took too long is caught up on: a link that stood idle is no
-        faster afterwards.
+        Only the time by which a sleep took too long is made up for. A link does not
+        get faster after it was idle.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        caught_up_s = min(CAUGHT_UP_S, self._overslept_s)
-        ends_at = max(now - caught_up_s, self._free_at) + size / self._bytes_per_s
+        catch_up_s = min(MAX_CATCH_UP_S, self._overslept_s)
+        ends_at = max(now - catch_up_s, self._free_at) + size / self._bytes_per_s
         self._free_at = ends_at
         self._overslept_s = 0.0
         self._carried += size
@@ -85,14 +87,14 @@
 
 
 class Relay:
-    """Stands before one address; requests go to it, replies come from it."""
+    """Forwards connections to one address: requests go to it, replies come from it."""
 
     def __init__(self, target: str, link: ThinLink | None = None) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self._link = link
-        self._requests = _Way.FORWARD
-        self._replies = _Way.FORWARD
+        self._request_mode = _DirectionMode.FORWARD
+        self._reply_mode = _DirectionMode.FORWARD
         self._changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
         self._port = 0
@@ -100,29 +102,29 @@
 
     @property
     def carried(self) -> int:
-        """Bytes of replies that came through."""
+        """Bytes of replies forwarded so far."""
         return self._carried
 
     @property
     def address(self) -> str:
-        """Where callers connect."""
+        """The address to which callers connect."""
         return f"{LOOPBACK}:{self._port}"
 
     def fail(self, fault: LinkFault) -> None:
-        """Fail in one way, on open and on new connections, until healed."""
+        """Apply a fault to open and new connections until ``heal`` is called."""
         if fault is LinkFault.RESET:
             self._reset()
-        self._set_ways(*_WAYS[fault])
+        self._set_modes(*_FAULT_MODES[fault])
 
     def heal(self) -> None:
-        """Forward again; a connection that has lost bytes breaks."""
-        lossy = _Way.SWALLOW in (self._requests, self._replies)
-        self._set_ways(_Way.FORWARD, _Way.FORWARD)
-        if lossy:
+        """Forward again; reset the connections if the fault dropped bytes."""
+        dropped_bytes = _DirectionMode.DROP in (self._request_mode, self._reply_mode)
+        self._set_modes(_DirectionMode.FORWARD, _DirectionMode.FORWARD)
+        if dropped_bytes:
             self._reset()
 
-    def _set_ways(self, requests: _Way, replies: _Way) -> None:
-        self._requests, self._replies = requests, replies
+    def _set_modes(self, requests: _DirectionMode, replies: _DirectionMode) -> None:
+        self._request_mode, self._reply_mode = requests, replies
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -143,15 +145,15 @@
         try:
             with suppress(ConnectionError):
                 await asyncio.gather(
-                    self._pump(reader, target_writer, requests=True),
-                    self._pump(target_reader, writer, requests=False),
+                    self._forward(reader, target_writer, requests=True),
+                    self._forward(target_reader, writer, requests=False),
                 )
         finally:
             self._writers -= writers
-            for each in writers:
-                each.close()
+            for open_writer in writers:
+                open_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -159,29 +161,29 @@
     ) -> None:
         link = None if requests else self._link
         while True:
-            data = await reader.read(THIN_CHUNK_BYTES if link else CHUNK_BYTES)
+            data = await reader.read(RATE_LIMITED_CHUNK_BYTES if link else CHUNK_BYTES)
             if link:
                 await link.carry(len(data))
-            while self._way(requests) is _Way.HOLD:
+            while self._mode(requests) is _DirectionMode.HOLD:
                 await self._changed.wait()
-            if self._way(requests) is _Way.SWALLOW:
+            if self._mode(requests) is _DirectionMode.DROP:
                 if data:
                     continue
                 await self._changed.wait()
             if not data:
-                # Closed, not aborted: what was held back is still delivered.
+                # Close instead of abort, so that bytes held back are still delivered.
                 writer.close()
                 return
             self._carried += 0 if requests else len(data)
             writer.write(data)
             await writer.drain()
 
-    def _way(self, requests: bool) -> _Way:
-        return self._requests if requests else self._replies
+    def _mode(self, requests: bool) -> _DirectionMode:
+        return self._request_mode if requests else self._reply_mode
 
     @asynccontextmanager
     async def serve(self) -> AsyncIterator[None]:
-        """Listen on a port that the kernel picks until the context ends."""
+        """Listen on a port that the kernel assigns, until the context ends."""
         server = await asyncio.start_server(self._serve, LOOPBACK, 0)
         self._port = server.sockets[0].getsockname()[1]
         try:
@@ -195,15 +197,15 @@
 async def open_relays(
     deployment: Deployment, *pools: str
 ) -> AsyncIterator[dict[str, Relay]]:
-    """Register the sidecars of some pools behind relays; yields them by endpoint."""
+    """Put relays before the sidecars of some pools; yield the relays by endpoint id."""
     async with AsyncExitStack() as stack:
         relays: dict[str, Relay] = {}
         firm = {}
         for pair in [p for pool in pools for p in deployment.pool(pool)]:
             relay = relays[pair.id] = Relay(pair.address)
             await stack.enter_async_context(relay.serve())
-            place = {**pair.registration(), "address": relay.address}
-            firm[f"endpoint.{pair.id}"] = place
+            registration = {**pair.registration(), "address": relay.address}
+            firm[f"endpoint.{pair.id}"] = registration
         change = await deployment.apply({"firm": firm})
         for number in range(len(deployment.entries)):
             await deployment.wait_revision(change["number"], number)
--- a/packages/standins/src/amaranthtally/standins/store.py
+++ b/packages/standins/src/amaranthtally/standins/store.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the users' store: keys, conditions, watches, leases, faults."""
+"""A fake of the users' store: keys, conditional writes, watches, leases and faults."""
 
 import asyncio
 import base64
@@ -24,7 +24,12 @@
 
 @dataclass(slots=True)
 class Outage:
-    """What goes wrong at the store."""
+    """
+    The faults that the store shows.
+
+    With ``down`` every call gets status 503; with ``silent_watches`` watches are not
+    answered in time; with ``lost_answers`` writes are made but not answered.
+    """
 
     down: bool = False
     silent_watches: bool = False
@@ -33,7 +38,7 @@
 
 @dataclass(slots=True)
 class FakeStore:
-    """The store's state; tests read and write it as the operator does."""
+    """The store's state, which tests read and write directly, as an operator would."""
 
     address: str = ""
     outage: Outage = field(default_factory=Outage)
@@ -46,17 +51,17 @@
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, key: str, value: object, lease: int = 0) -> None:
-        """Write a key; anything but bytes is written as JSON."""
+        """Write a key; a value that is not ``bytes`` is encoded as JSON."""
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self.revision += 1
         self.items[key] = _Item(raw, self.revision, lease)
-        self._note(key, self.items[key])
+        self._add_change(key, self.items[key])
 
     def remove(self, key: str) -> None:
         """Remove a key."""
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._note(key, None)
+            self._add_change(key, None)
 
     def end_lease(self, lease: int) -> None:
         """End a lease and remove its keys."""
@@ -65,11 +70,11 @@
             self.remove(key)
 
     def forget_history(self) -> None:
-        """Keep no change of before now."""
+        """Discard past changes; a watch from an earlier revision gets status 410."""
         self.history.clear()
         self.oldest = self.revision
 
-    def _note(self, key: str, item: _Item | None) -> None:
+    def _add_change(self, key: str, item: _Item | None) -> None:
         self.history.append((key, item, self.revision))
         self.changed.set()
         self.changed = asyncio.Event()
@@ -77,13 +82,13 @@
 
 @asynccontextmanager
 async def open_store_standin(port: int = 0) -> AsyncIterator[FakeStore]:
-    """Serve a store on loopback; port 0 lets the kernel pick."""
+    """Serve a store on loopback; with port 0 the kernel assigns the port."""
     store = FakeStore()
     runner = web.AppRunner(_app(store), access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
-    host, bound = runner.addresses[0][:2]
-    store.address = f"{host}:{bound}"
+    host, bound_port = runner.addresses[0][:2]
+    store.address = f"{host}:{bound_port}"
     try:
         yield store
     finally:
@@ -91,8 +96,8 @@
 
 
 def _app(store: FakeStore) -> web.Application:
-    calls = _Calls(store)
-    app = web.Application(middlewares=[calls.disturb])
+    calls = _StoreHandlers(store)
+    app = web.Application(middlewares=[calls.inject_faults])
     app.router.add_get("/v1/kv-key", calls.key)
     app.router.add_get("/v1/kv-range", calls.range)
     app.router.add_get("/v1/kv-watch", calls.watch)
@@ -103,12 +108,12 @@
     return app
 
 
-class _Calls:
+class _StoreHandlers:
     def __init__(self, store: FakeStore) -> None:
         self._store = store
 
     @web.middleware
-    async def disturb(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
+    async def inject_faults(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
         self._store.calls.append(f"{request.method} {request.path}")
         if self._store.outage.down:
             return web.Response(status=503)
@@ -149,12 +154,12 @@
                 for key, item, revision in self._store.history
                 if revision > after and key.startswith(prefix)
             ]
-            left = end - loop.time()
-            if events or left <= 0:
+            remaining_s = end - loop.time()
+            if events or remaining_s <= 0:
                 body = {"events": events, "at": self._store.revision}
                 return web.json_response(body)
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._store.changed.wait()
             except TimeoutError:
                 continue
@@ -163,8 +168,8 @@
         body = await request.json()
         items = self._store.items
         for row in body["expectedRevision"]:
-            found = items.get(row["key"])
-            if (found.revision if found else 0) != row["revision"]:
+            item = items.get(row["key"])
+            if (item.revision if item else 0) != row["revision"]:
                 return web.json_response({"entries": []}, status=412)
         for row in body["write"]:
             lease = row.get("leaseId", 0)
--- a/tests/unit/test_thin_link_rate.py
+++ b/tests/unit/test_thin_link_rate.py
@@ -2,22 +2,22 @@
 
 import asyncio
 
-from amaranthtally.standins.relay import THIN_CHUNK_BYTES, ThinLink
+from amaranthtally.standins.relay import RATE_LIMITED_CHUNK_BYTES, ThinLink
 
 BYTES_PER_S = 500_000.0
 CHUNKS = 64
-SENT = CHUNKS * THIN_CHUNK_BYTES
+SENT = CHUNKS * RATE_LIMITED_CHUNK_BYTES
 
 
 def taken_s(link, before_s=0.0):
     """Return how long a link takes for some chunks, in seconds, after standing idle."""
 
     async def send():
-        await link.carry(THIN_CHUNK_BYTES)
+        await link.carry(RATE_LIMITED_CHUNK_BYTES)
         await asyncio.sleep(before_s)
         began = asyncio.get_running_loop().time()
         for _ in range(CHUNKS):
-            await link.carry(THIN_CHUNK_BYTES)
+            await link.carry(RATE_LIMITED_CHUNK_BYTES)
         return asyncio.get_running_loop().time() - began
 
     return asyncio.run(send())
