--- a/bench/unread_logs.py
+++ b/bench/unread_logs.py
@@ -56,7 +56,7 @@
             world.configure(1, route("read"))
             gateway = await world.gateway()
             await _measure("read", gateway, seconds / 2)
-            gateway.process.stop_reading()
+            gateway.process.pause_output()
             await _measure("unread", gateway, seconds)
 
 
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -118,7 +118,7 @@
         """Return the endpoints of a pool."""
         return [pair for pair in self.endpoints.values() if pair.pool == name]
 
-    def own_address(self) -> str:
+    def reserve_address(self) -> str:
         """Reserve an address for as long as the deployment runs."""
         return f"{LOOPBACK}:{self._stack.enter_context(reserve_port())}"
 
@@ -131,7 +131,7 @@
 
     async def start_standin(self, name: str, kind: str, *knobs: str) -> Process:
         """Start a stand-in that ends with the deployment."""
-        return await self._start_standin(name, kind, self.own_address(), knobs)
+        return await self._start_standin(name, kind, self.reserve_address(), knobs)
 
     async def start_standin_at(
         self, name: str, kind: str, port: int, knobs: dict[str, Any]
@@ -187,8 +187,8 @@
         }
         settings = {
             **location,
-            "wire_address": self.own_address(),
-            "http_address": self.own_address(),
+            "wire_address": self.reserve_address(),
+            "http_address": self.reserve_address(),
             "endpoint_url": f"http://127.0.0.1:{service.ports['port']}",
             "endpoint_kind": pool.kind,
             "platform_url": self.platform_url,
@@ -221,8 +221,8 @@
             "host": f"host-{name}",
             "region": region.name,
             "data_centre": region.data_centres[0],
-            "caller_address": self.own_address(),
-            "admin_address": self.own_address(),
+            "caller_address": self.reserve_address(),
+            "admin_address": self.reserve_address(),
             "platform_url": self.platform_url,
             "token_keys": [TOKEN_KEY],
             "admin_keys": [ADMIN_KEY],
@@ -242,7 +242,7 @@
 
     # Settings
 
-    def first_settings(self) -> dict[str, dict[str, Any]]:
+    def initial_settings(self) -> dict[str, dict[str, Any]]:
         """Return the initial tree: the plan's settings, accounts and endpoints."""
         from hashlib import sha256
 
@@ -354,7 +354,7 @@
         for _ in range(entries):
             await deployment.start_entry(**(entry_overrides or {}))
         await deployment.wait_ready(0)
-        change = await deployment.apply(deployment.first_settings())
+        change = await deployment.apply(deployment.initial_settings())
         for number in range(entries):
             await deployment.wait_ready(number)
             await deployment.wait_revision(change["number"], number)
--- a/packages/standins/src/amaranthtally/standins/engine.py
+++ b/packages/standins/src/amaranthtally/standins/engine.py
@@ -166,7 +166,7 @@
             request.transport.abort()
 
     def _serves(self, model: str) -> bool:
-        """Whether the engine serves a model; it serves any wait_until its first order."""
+        """Whether the engine serves a model; until its first order it serves any."""
         if self._role == "prefill":
             return False
         return not model or not self._fencing or model in self._models
--- a/packages/standins/src/amaranthtally/standins/process.py
+++ b/packages/standins/src/amaranthtally/standins/process.py
@@ -66,11 +66,11 @@
         with suppress(ProcessLookupError):
             os.kill(self._child.pid, number)
 
-    def stop_reading(self) -> None:
+    def pause_output(self) -> None:
         """Stop reading the process's output, as a log collector that hangs does."""
         self._output().pause_reading()
 
-    def go_on_reading(self) -> None:
+    def resume_output(self) -> None:
         """Resume reading the process's output."""
         self._output().resume_reading()
 
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -8,7 +8,7 @@
 from amaranthtally.standins.deployment import Deployment
 from amaranthtally.standins.ports import LOOPBACK
 
-__all__ = ["LinkFault", "Relay", "ThinLink", "open_relays"]
+__all__ = ["LinkFault", "Relay", "RateLimitedLink", "open_relays"]
 
 CHUNK_BYTES = 65_536
 # Bytes that a connection sends over a rate-limited link before the next one's turn.
@@ -49,7 +49,7 @@
 }
 
 
-class ThinLink:
+class RateLimitedLink:
     """A limit in bytes per second that the replies of several relays share."""
 
     def __init__(self, bytes_per_s: float) -> None:
@@ -89,7 +89,7 @@
 class Relay:
     """Forwards connections to one address: requests go to it, replies come from it."""
 
-    def __init__(self, target: str, link: ThinLink | None = None) -> None:
+    def __init__(self, target: str, link: RateLimitedLink | None = None) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         self._link = link
--- a/packages/standins/src/amaranthtally/standins/store.py
+++ b/packages/standins/src/amaranthtally/standins/store.py
@@ -69,7 +69,7 @@
         for key in [k for k, item in self.items.items() if item.lease == lease]:
             self.remove(key)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Discard past changes; a watch from an earlier revision gets status 410."""
         self.history.clear()
         self.oldest = self.revision
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -125,7 +125,7 @@
         cluster.store.outage.silent_watches = True
         await asyncio.sleep(1.5)
         cluster.configure(2, route("job"), keys=("another",))
-        cluster.store.forget_history()
+        cluster.store.compact_history()
         async with asyncio.timeout(5.0):
             await call_until_status(gateway, "/job/", 401)
 
@@ -140,7 +140,7 @@
         cluster.store.outage.down = True
         await gateway.wait_for_event("store_lost")
         cluster.configure(2, route("job"), route("more", service="job"))
-        cluster.store.forget_history()
+        cluster.store.compact_history()
         cluster.store.outage.down = False
         await call_until_status(gateway, "/more/", 200)
 
--- a/tests/gateway/test_slow_links.py
+++ b/tests/gateway/test_slow_links.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from amaranthtally.standins.relay import Relay, ThinLink
+from amaranthtally.standins.relay import RateLimitedLink, Relay
 from amaranthtally.standins.store import open_store_standin
 from tests.gateway.support import configuration, respond_with, route, run_with_cluster
 
@@ -30,7 +30,7 @@
 def link_for(document):
     """Return a link that a response with this document saturates for ``TRANSFER_S``."""
     base64_size = len(msgspec.json.encode(document)) * 4 / 3
-    return ThinLink(base64_size / TRANSFER_S)
+    return RateLimitedLink(base64_size / TRANSFER_S)
 
 
 async def open_relay(stack, target, link):
@@ -99,7 +99,9 @@
             for key, item in cluster.store.items.items():
                 failing_store.put(key, item.value)
             document = large_configuration(2, route("job"), route("new", service="job"))
-            link = ThinLink(len(zlib.compress(msgspec.json.encode(document))) / 1.6)
+            link = RateLimitedLink(
+                len(zlib.compress(msgspec.json.encode(document))) / 1.6
+            )
             name = "entries/first"
             record = msgspec.json.decode(cluster.store.items[name].value)
             relay = await open_relay(stack, record["address"], link)
--- a/tests/gateway/test_unread_output.py
+++ b/tests/gateway/test_unread_output.py
@@ -37,11 +37,11 @@
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway(metrics_address="127.0.0.1:0")
         assert set(await serve(gateway, 200)) == {200}
-        gateway.process.stop_reading()
+        gateway.process.pause_output()
         before = memory_mb(gateway.process.pid)
         assert set(await serve(gateway, REQUESTS)) == {200}
         assert memory_mb(gateway.process.pid) - before < MAX_GROWTH_MB
-        gateway.process.go_on_reading()
+        gateway.process.resume_output()
         assert "count=" in await gateway.wait_for_event("log_lines_lost")
 
     run_with_cluster(tmp_path, check)
--- a/tests/lifecycle/test_host_sidecar.py
+++ b/tests/lifecycle/test_host_sidecar.py
@@ -40,14 +40,14 @@
         "host": HOST,
         "region": pairs[0].region,
         "data_centre": pairs[0].data_centre,
-        "http_address": deployment.own_address(),
+        "http_address": deployment.reserve_address(),
         "platform_url": deployment.platform_url,
         "drain_wait": 0.5,
         "handover_keys": [HANDOVER_KEY],
         "endpoints": [
             {
                 "endpoint": pair.id,
-                "wire_address": deployment.own_address(),
+                "wire_address": deployment.reserve_address(),
                 "endpoint_url": pair.service_url,
                 "endpoint_kind": kinds[pair.pool],
                 "concurrency": 4,
--- a/tests/settings/helpers.py
+++ b/tests/settings/helpers.py
@@ -91,7 +91,9 @@
 
 async def start_second_sidecar(deployment, pair):
     """Start another sidecar of an endpoint while the old one keeps its addresses."""
-    own = {key: deployment.own_address() for key in ("wire_address", "http_address")}
+    own = {
+        key: deployment.reserve_address() for key in ("wire_address", "http_address")
+    }
     settings = tomllib.loads(pair.sidecar_file.read_text()) | own
     file = deployment.write_settings(pair.id, settings)
     pair.sidecar = await deployment.start_daemon("sidecar", pair.id, file)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -90,7 +90,7 @@
 
 @fault
 async def store_forgets(world, random, name):
-    world.store.forget_history()
+    world.store.compact_history()
 
 
 @fault
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -7,7 +7,7 @@
 import signal
 from contextlib import AsyncExitStack, asynccontextmanager
 
-from amaranthtally.standins.relay import Relay, ThinLink
+from amaranthtally.standins.relay import RateLimitedLink, Relay
 from tests.gateway.support import SEGMENTS, STREAM, open_gateway_cluster, route
 from tests.soak.endpoints import Records, Script
 
@@ -71,7 +71,7 @@
                 await self._endpoint(f"{pool}-{number}", pool, kind, PLACES[number])
         self.configure()
         for name in self.names:
-            link = ThinLink(THIN_BYTES_PER_S) if name == THIN else None
+            link = RateLimitedLink(THIN_BYTES_PER_S) if name == THIN else None
             relay = Relay(self.store.address, link)
             await self._stack.enter_async_context(relay.serve())
             self.relays[name] = relay
--- a/tests/unit/test_thin_link_rate.py
+++ b/tests/unit/test_thin_link_rate.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from amaranthtally.standins.relay import RATE_LIMITED_CHUNK_BYTES, ThinLink
+from amaranthtally.standins.relay import RATE_LIMITED_CHUNK_BYTES, RateLimitedLink
 
 BYTES_PER_S = 500_000.0
 CHUNKS = 64
@@ -27,5 +27,5 @@
     """Guards against tests of thin links that pass as their link is not thin."""
     allowed_s = 0.02
     for before_s in (0.0, 0.5):
-        took_s = taken_s(ThinLink(BYTES_PER_S), before_s)
+        took_s = taken_s(RateLimitedLink(BYTES_PER_S), before_s)
         assert took_s >= SENT / BYTES_PER_S - allowed_s
