--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -28,7 +28,7 @@
 
 
 async def inject(world: World, name: str) -> None:
-    """Cause a fault and undo it after a random time."""
+    """Cause a fault and undo it; return once it is undone."""
     world.counts[f"fault {name}"] += 1
     await _FAULTS[name](world)
 
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -156,7 +156,7 @@
         return process
 
     async def spawn_daemon(self, role: str, name: str, file: Path) -> Process:
-        """Start a daemon without waiting until it listens."""
+        """Start a daemon that ends with the deployment; don't wait until it listens."""
         process = await spawn_process(name, DAEMON, role, "--settings", file)
         self._stack.push_async_callback(process.kill)
         return process
--- a/packages/standins/src/amaranthtally/standins/process.py
+++ b/packages/standins/src/amaranthtally/standins/process.py
@@ -80,7 +80,7 @@
         return cast(asyncio.ReadTransport, transport.get_pipe_transport(1))
 
     async def wait(self) -> int:
-        """Wait until the process has ended and its output is read."""
+        """Return the exit code after the process has ended and its output is read."""
         code = await self._child.wait()
         await asyncio.wait({self._reader})
         return code
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -118,9 +118,12 @@
 
     def heal(self) -> None:
         """Forward again; reset the connections if the fault dropped bytes."""
-        dropped_bytes = _DirectionMode.DROP in (self._request_mode, self._reply_mode)
+        has_dropped_bytes = _DirectionMode.DROP in (
+            self._request_mode,
+            self._reply_mode,
+        )
         self._set_modes(_DirectionMode.FORWARD, _DirectionMode.FORWARD)
-        if dropped_bytes:
+        if has_dropped_bytes:
             self._reset()
 
     def _set_modes(self, requests: _DirectionMode, replies: _DirectionMode) -> None:
--- a/packages/standins/src/amaranthtally/standins/store.py
+++ b/packages/standins/src/amaranthtally/standins/store.py
@@ -96,15 +96,15 @@
 
 
 def _app(store: FakeStore) -> web.Application:
-    calls = _StoreHandlers(store)
-    app = web.Application(middlewares=[calls.inject_faults])
-    app.router.add_get("/v1/kv-key", calls.key)
-    app.router.add_get("/v1/kv-range", calls.range)
-    app.router.add_get("/v1/kv-watch", calls.watch)
-    app.router.add_post("/v1/kv-txn", calls.transact)
-    app.router.add_post("/v1/kv-lease", calls.grant)
-    app.router.add_post("/v1/kv-keep/{lease}", calls.renew)
-    app.router.add_delete("/v1/kv-lease-end/{lease}", calls.end)
+    handlers = _StoreHandlers(store)
+    app = web.Application(middlewares=[handlers.inject_faults])
+    app.router.add_get("/v1/kv-key", handlers.key)
+    app.router.add_get("/v1/kv-range", handlers.range)
+    app.router.add_get("/v1/kv-watch", handlers.watch)
+    app.router.add_post("/v1/kv-txn", handlers.transact)
+    app.router.add_post("/v1/kv-lease", handlers.grant)
+    app.router.add_post("/v1/kv-keep/{lease}", handlers.renew)
+    app.router.add_delete("/v1/kv-lease-end/{lease}", handlers.end)
     return app
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""The failing tests that stand for a real fault, from KNOWN-RED.txt."""
+"""Reads KNOWN-RED.txt, the list of tests that fail because of a known fault."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 
 
 def known_red_lines():
-    """Return the lines of the list; none where it is empty or absent."""
+    """Return the lines of the list; an empty list if the file is empty or missing."""
     if not KNOWN_RED.exists():
         return []
     text = KNOWN_RED.read_text(encoding="utf-8")
@@ -16,10 +16,10 @@
 
 
 def is_intermittent(line):
-    """Whether a line's last column says that its test fails at times only."""
+    """Whether a line's last column marks its test as failing only sometimes."""
     return line.split(SEPARATOR)[-1].strip() == INTERMITTENT
 
 
 def known_red_by_test():
-    """Return each line by the id of its test."""
+    """Return the lines by the node id of their tests."""
     return {line.split(SEPARATOR)[0].strip(): line for line in known_red_lines()}
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,4 +1,4 @@
-"""Run pytest in a few processes; print what KNOWN-RED.txt lets pass over."""
+"""Run pytest in a few worker processes; print the known failures."""
 
 import sys
 
@@ -7,7 +7,7 @@
 from tests.known_red import KNOWN_RED, known_red_lines
 
 MAX_KNOWN_RED = 3
-# Most tests wait for the processes that they start; more would starve those.
+# Most tests wait for processes that they start; more workers would starve these.
 WORKERS = "4"
 
 
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised runs of real gateway processes under faults from outside them."""
+"""Randomised runs of real gateway processes under injected external faults."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,7 +1,7 @@
 """
-Run gateways under mixed load and random faults; check every promise.
+Run gateways under mixed load and random faults; check their guarantees.
 
-The exit code is 0 when no promise was broken, 1 otherwise.
+The exit code is 0 when no violation was found, 1 otherwise.
 """
 
 import argparse
@@ -13,129 +13,148 @@
 
 from tests.soak.callers import Callers
 from tests.soak.faults import FAULTS
-from tests.soak.world import FEW, open_soak
+from tests.soak.world import DEFAULT_GATEWAYS, open_soak
 
 AT_ONCE = 12
-# Faults of a whole process, one at a time each: it is started anew after them.
-OF_PROCESSES = ("kill", "planned_stop", "stop_among_signals", "pause")
-# Between two faults, in seconds: several last longer, so that they overlap.
-PAUSE_S = (0.1, 1.2)
-# A second fault comes with this share of the first.
-PAIR_SHARE = 0.3
-# In which everything must be served again after the last fault, in seconds.
-SETTLE_S = 8.0
-# In which the last version must be in force at every gateway, in seconds.
-IN_FORCE_S = 4.0
-# Of the last requests, how many must be served.
+# Faults of a whole process. A gateway has only one of them at a time, since most of
+# them restart it.
+PROCESS_FAULTS = ("kill", "planned_stop", "stop_among_signals", "pause")
+# Range of the time between two injections, in seconds. Several faults last longer, so
+# that they overlap.
+INJECTION_INTERVAL_S = (0.1, 1.2)
+# Share of the injections that start two faults at once.
+SIMULTANEOUS_SHARE = 0.3
+# Time after the last fault within which every gateway must be ready again, in seconds.
+RECOVERY_TIMEOUT_S = 8.0
+# Time within which every gateway must apply the last version, in seconds.
+APPLY_TIMEOUT_S = 4.0
+# Share of the requests after the recovery that must be served.
 SERVED_SHARE = 0.95
 
 
-async def run_soak(seed, seconds, folder, gateways=FEW):
-    """Return what did not hold, and how many requests ended with which status."""
+async def run_soak(seed, seconds, folder, gateways=DEFAULT_GATEWAYS):
+    """Run one seed; return the violations and the number of responses by status."""
     random = Random(seed)
     async with open_soak(folder, gateways) as world:
         callers = Callers(world, Random(random.random()))
         loop = asyncio.get_running_loop()
         calling = asyncio.create_task(callers.run(AT_ONCE, loop.time() + seconds))
-        await _disturb(world, random, loop.time() + seconds)
+        await _inject_faults(world, random, loop.time() + seconds)
         await calling
         await _check_recovery(world, random)
         check_records(world, callers)
         return world.violations, callers.statuses
 
 
-async def _disturb(world, random, until):
+async def _inject_faults(world, random, end_at):
     tasks = []
     loop = asyncio.get_running_loop()
-    while loop.time() < until:
-        for _ in range(1 + (random.random() < PAIR_SHARE)):
+    while loop.time() < end_at:
+        for _ in range(1 + (random.random() < SIMULTANEOUS_SHARE)):
             tasks.append(asyncio.create_task(_inject(world, random)))
-        await asyncio.sleep(random.uniform(*PAUSE_S))
+        await asyncio.sleep(random.uniform(*INJECTION_INTERVAL_S))
     await asyncio.gather(*tasks)
 
 
 async def _inject(world, random):
-    work = FAULTS[random.choice(sorted(FAULTS))]
+    fault = FAULTS[random.choice(sorted(FAULTS))]
     name = random.choice(world.names)
-    is_process = work.__name__ in OF_PROCESSES
+    is_process = fault.__name__ in PROCESS_FAULTS
     if is_process and name in world.disturbed:
         return
     if is_process:
         world.disturbed.add(name)
     try:
-        await work(world, random, name)
+        await fault(world, random, name)
     finally:
         if is_process:
             world.disturbed.discard(name)
 
 
 async def _check_recovery(world, random):
-    """Every gateway is ready again by itself, and serves."""
+    """Check that every gateway becomes ready without intervention, and serves."""
     for script in world.scripts.values():
         script.break_next("", 0)
     try:
-        async with asyncio.timeout(SETTLE_S):
+        async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             for gateway in world.gateways.values():
                 await gateway.wait_until_ready()
     except TimeoutError:
-        world.violations.append(f"not ready {SETTLE_S} s after the last fault")
+        world.violations.append(
+            f"not ready {RECOVERY_TIMEOUT_S} s after the last fault"
+        )
         return
-    await asyncio.sleep(SETTLE_S / 2)
+    await asyncio.sleep(RECOVERY_TIMEOUT_S / 2)
     await _check_last_version(world, random)
-    last = Callers(world, Random(random.random()), "last-")
-    await last.run(AT_ONCE, asyncio.get_running_loop().time() + 1.0)
-    served = last.statuses.get(200, 0) / max(1, sum(last.statuses.values()))
+    final_callers = Callers(world, Random(random.random()), "last-")
+    await final_callers.run(AT_ONCE, asyncio.get_running_loop().time() + 1.0)
+    served = final_callers.statuses.get(200, 0) / max(
+        1, sum(final_callers.statuses.values())
+    )
     if served < SERVED_SHARE:
-        world.violations.append(f"only {served:.2f} served in the end: {last.statuses}")
+        world.violations.append(
+            f"only {served:.2f} served after the recovery: {final_callers.statuses}"
+        )
 
 
 async def _check_last_version(world, random):
-    """A version that comes when all is calm is in force in time, however large."""
-    version = world.grow(random)
+    """Check that a large version, written without active faults, is applied in time."""
+    version = world.write_larger_version(random)
 
-    async def until_in_force(name):
+    async def wait_until_applied(name):
         try:
-            async with asyncio.timeout(IN_FORCE_S):
+            async with asyncio.timeout(APPLY_TIMEOUT_S):
                 gateway = world.gateways[name]
                 await gateway.wait_for_event("configuration_in_force", version=version)
         except TimeoutError:
-            world.violations.append(f"{name}: {version} not in force in {IN_FORCE_S} s")
+            world.violations.append(
+                f"{name}: {version} not in force in {APPLY_TIMEOUT_S} s"
+            )
 
-    await asyncio.gather(*(until_in_force(name) for name in world.names))
+    await asyncio.gather(*(wait_until_applied(name) for name in world.names))
 
 
 def check_records(world, callers):
-    """Compare what callers were told with what endpoints ran."""
+    """Check the responses to callers against the records of the endpoints."""
     runs = world.records.runs
     for request_id in callers.orders:
         if runs[request_id] > 1:
             world.violations.append(f"{request_id}: ran {runs[request_id]} times")
     for request_id in callers.not_run:
         if runs[request_id]:
-            world.violations.append(f"{request_id}: said not to have run, but ran")
+            world.violations.append(f"{request_id}: refused as not run, but ran")
     for request_id, inputs in world.records.wrong_inputs:
-        world.violations.append(f"{request_id}: given {inputs}")
+        world.violations.append(f"{request_id}: ran with wrong inputs {inputs}")
 
 
 def main():
-    """Run from the command line; return the exit code."""
+    """Parse the command line, run the seeds and return the exit code."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="how many in a row")
-    parser.add_argument("--seconds", type=float, default=10.0, help="of faults a seed")
-    parser.add_argument("--gateways", type=int, default=FEW, help="processes")
-    given = parser.parse_args()
-    is_broken = False
-    for seed in range(given.seed, given.seed + given.seeds):
+    parser.add_argument(
+        "--seeds", type=int, default=1, help="number of consecutive seeds"
+    )
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=10.0,
+        help="duration of the faults of each seed",
+    )
+    parser.add_argument(
+        "--gateways", type=int, default=DEFAULT_GATEWAYS, help="number of gateways"
+    )
+    arguments = parser.parse_args()
+    has_violations = False
+    for seed in range(arguments.seed, arguments.seed + arguments.seeds):
         with tempfile.TemporaryDirectory() as folder:
-            work = run_soak(seed, given.seconds, Path(folder), given.gateways)
-            violations, statuses = asyncio.run(work)
-        is_broken |= bool(violations)
+            soak = run_soak(seed, arguments.seconds, Path(folder), arguments.gateways)
+            violations, statuses = asyncio.run(soak)
+        has_violations |= bool(violations)
         sys.stdout.write(f"seed={seed} statuses={sorted(statuses.items())} ")
         sys.stdout.write(f"violations={len(violations)}\n")
         sys.stdout.writelines(f"violation: {violation}\n" for violation in violations)
         sys.stdout.flush()
-    return 1 if is_broken else 0
+    return 1 if has_violations else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,24 +1,25 @@
-"""Callers of a soak: each notes what it was told and checks what can be checked now."""
+"""Callers of a soak run, which check each response and record its status."""
 
 import asyncio
 
 import aiohttp
 
-from amaranthtally.adapter import headers as names
+from amaranthtally.adapter import headers as header_names
 from tests.gateway.fake_endpoint import SIGNATURE
 from tests.soak.endpoints import PIECES, events_of
 
 KINDS = ("order", "read", "ask")
-# A refusal promises that the request has not run and never will.
-PROMISES = (408, 421, 429, 503)
-# Longer than any route's time, in seconds: a caller that waits so long was forgotten.
-FORGOTTEN_S = 9.0
-# What a caller of a gateway that was disturbed may see.
+# Statuses of refusals, which guarantee that the request has not run and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+# Longer than the time-out of any route, in seconds: a request that takes longer than
+# this counts as never answered.
+ANSWER_TIMEOUT_S = 9.0
+# Recorded instead of a status when the connection failed, as it may under faults.
 NO_ANSWER = 0
 
 
 class Callers:
-    """Sends requests one after another, several at once."""
+    """Sends random requests from several concurrent callers."""
 
     def __init__(self, world, random, prefix=""):
         self._prefix = prefix
@@ -29,12 +30,12 @@
         self.not_run = []
         self.statuses = {}
 
-    async def run(self, at_once, until):
-        await asyncio.gather(*(self._work(until) for _ in range(at_once)))
+    async def run(self, at_once, end_at):
+        await asyncio.gather(*(self._send_requests(end_at) for _ in range(at_once)))
 
-    async def _work(self, until):
+    async def _send_requests(self, end_at):
         loop = asyncio.get_running_loop()
-        while loop.time() < until:
+        while loop.time() < end_at:
             await self._request()
             await asyncio.sleep(0.02 * self._random.random())
 
@@ -44,36 +45,43 @@
         request_id = f"{kind}-{self._prefix}{self._serial}"
         gateway = self._world.gateways[self._random.choice(self._world.names)]
         counts = ",".join(str(count) for count in PIECES)
-        headers = {names.CHUNK_COUNTS: counts, names.CHUNK_KEY: request_id}
+        headers = {
+            header_names.CHUNK_COUNTS: counts,
+            header_names.CHUNK_KEY: request_id,
+        }
         headers = gateway.headers(request_id, **headers if kind == "ask" else {})
         try:
-            async with asyncio.timeout(FORGOTTEN_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 status, signature, body = await self._send(gateway, kind, headers)
         except (aiohttp.ClientError, OSError):
             status, signature, body = NO_ANSWER, "", b""
         except TimeoutError:
             has_ended = gateway.process.exit_code is not None
             if not has_ended and gateway.process.name not in self._world.disturbed:
-                self._world.violations.append(f"{request_id}: forgotten")
+                self._world.violations.append(f"{request_id}: never answered")
             return
         self.statuses[status] = self.statuses.get(status, 0) + 1
         self._check(kind, request_id, status, signature, body)
 
     async def _send(self, gateway, kind, headers):
         url = f"{gateway.url}/{kind}/"
-        async with gateway.session.post(url, headers=headers) as answer:
-            body = await answer.read()
-            return answer.status, answer.headers.get(names.SIGNATURE, ""), body
+        async with gateway.session.post(url, headers=headers) as response:
+            body = await response.read()
+            return (
+                response.status,
+                response.headers.get(header_names.SIGNATURE, ""),
+                body,
+            )
 
     def _check(self, kind, request_id, status, signature, body):
         if kind == "order":
             self.orders.append(request_id)
-        if status in PROMISES:
+        if status in NOT_RUN_STATUSES:
             self.not_run.append(request_id)
         if status in (400, 401, 404, 413):
-            self._world.violations.append(f"{request_id}: denied with {status}")
+            self._world.violations.append(f"{request_id}: rejected with {status}")
         if status != 200:
             return
-        wanted = b"".join(events_of(request_id)) if kind == "ask" else None
-        if signature != SIGNATURE or body != (wanted or request_id.encode()):
-            self._world.violations.append(f"{request_id}: answered with {body[:80]!r}")
+        expected_stream = b"".join(events_of(request_id)) if kind == "ask" else None
+        if signature != SIGNATURE or body != (expected_stream or request_id.encode()):
+            self._world.violations.append(f"{request_id}: wrong response {body[:80]!r}")
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -1,10 +1,10 @@
-"""Endpoints of a soak: they misbehave when told to and keep records of what ran."""
+"""Endpoints of a soak run, with faults on request and records of what they ran."""
 
 import itertools
 import json
 from collections import Counter
 
-from amaranthtally.adapter import headers as names
+from amaranthtally.adapter import headers as header_names
 from tests.gateway.fake_endpoint import (
     STREAM_END,
     Reset,
@@ -15,12 +15,13 @@
 )
 
 EVENTS = 6
-# Pieces of the two stages of a streamed request, and its handles at the engine.
+# Numbers of pieces of the two stages of a streamed request. The engine gets as many
+# input handles as the second stage has pieces.
 PIECES = (1, 2)
 
 
 def events_of(request_id, first=1):
-    """Return the events of a request's stream from one on."""
+    """Return the events of a request's stream, from number ``first``."""
     return [
         b"id: %d\ndata: %s/%d\n\n" % (n, request_id.encode(), n)
         for n in range(first, EVENTS + 1)
@@ -28,26 +29,28 @@
 
 
 class Records:
-    """What ran where, and what was given to whom."""
+    """The runs of each request, the handles made, and wrong inputs that were sent.
+
+    ``piece_of_handle`` maps each handle to the request and the stage that made it."""
 
     def __init__(self):
         self.runs = Counter()
         self.wrong_inputs = []
         self.serial = itertools.count()
-        self.made_for = {}
+        self.piece_of_handle = {}
 
 
 class Script:
-    """Answers one endpoint's requests; ``fault`` is spent on the next few."""
+    """Answers one endpoint's requests; the next ``faults_left`` get ``fault``."""
 
     def __init__(self, records, kind):
         self.records = records
         self.kind = kind
         self.fault = ""
-        self.left = 0
+        self.faults_left = 0
 
     def break_next(self, fault, count):
-        self.fault, self.left = fault, count
+        self.fault, self.faults_left = fault, count
 
     def __call__(self, request):
         fault = self._take_fault(request)
@@ -67,9 +70,9 @@
         return steps
 
     def _take_fault(self, request):
-        if self.left <= 0 or request.target.endswith("free"):
+        if self.faults_left <= 0 or request.target.endswith("free"):
             return ""
-        self.left -= 1
+        self.faults_left -= 1
         return self.fault
 
     def _work(self, request):
@@ -77,23 +80,23 @@
         return [0.02, complete_response(request, request.id.encode())]
 
     def _pieces(self, request):
-        made = []
+        results = []
         for entry in json.loads(request.body)["entries"]:
             handle = f"h{next(self.records.serial)}"
-            self.records.made_for[handle] = (entry["id"], entry["phase"])
+            self.records.piece_of_handle[handle] = (entry["id"], entry["phase"])
             inputs = entry.get("inputHandles", [])
-            wanted = [(entry["id"], 0)] * PIECES[0] if entry["phase"] else []
-            if [self.records.made_for.get(h) for h in inputs] != wanted:
+            expected = [(entry["id"], 0)] * PIECES[0] if entry["phase"] else []
+            if [self.records.piece_of_handle.get(h) for h in inputs] != expected:
                 self.records.wrong_inputs.append((entry["id"], inputs))
-            made.append({"handle": handle})
-        body = json.dumps({"entries": made}).encode()
+            results.append({"handle": handle})
+        body = json.dumps({"entries": results}).encode()
         return [0.03, complete_response(request, body, signed=False)]
 
     def _engine(self, request):
         self.records.runs[request.id] += 1
-        handles = request.headers[names.INPUT_HANDLES.lower()].split(",")
-        given = [self.records.made_for.get(h) for h in handles]
-        if given != [(request.id, 1)] * PIECES[1] or len(set(handles)) != len(handles):
+        handles = request.headers[header_names.INPUT_HANDLES.lower()].split(",")
+        actual = [self.records.piece_of_handle.get(h) for h in handles]
+        if actual != [(request.id, 1)] * PIECES[1] or len(set(handles)) != len(handles):
             self.records.wrong_inputs.append((request.id, handles))
         first = int(request.headers.get("last-event-id", 0)) + 1
         steps = [stream_response_head(request)]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, by name; each breaks something from outside and heals it."""
+"""Faults of a soak run, by name; most of them undo themselves after a random time."""
 
 import asyncio
 import signal
@@ -7,19 +7,19 @@
 
 FAULTS = {}
 ENDPOINT_FAULTS = ("refuse", "reset before", "reset after", "twice", "hang")
-# How long a fault lasts, in seconds.
+# Shortest and longest duration of a fault, in seconds.
 SHORT_S, LONG_S = 0.3, 2.5
-# Between two signals of a series, in seconds at most.
-SIGNALS_APART_S = 0.3
+# Longest time between two signals of a series, in seconds.
+MAX_SIGNAL_INTERVAL_S = 0.3
 
 
-def fault(work):
+def fault(function):
     """Register a fault under its function's name."""
-    FAULTS[work.__name__] = work
-    return work
+    FAULTS[function.__name__] = function
+    return function
 
 
-def draw_s(random):
+def random_duration_s(random):
     return random.uniform(SHORT_S, LONG_S)
 
 
@@ -27,7 +27,7 @@
 async def kill(world, random, name):
     world.gateways[name].process.send(signal.SIGKILL)
     await world.gateways[name].process.wait()
-    await asyncio.sleep(draw_s(random))
+    await asyncio.sleep(random_duration_s(random))
     await world.start_gateway(name)
 
 
@@ -39,15 +39,15 @@
 
 @fault
 async def stop_among_signals(world, random, name):
-    """A planned stop that reloads, pauses and further stops fall into, one by one."""
+    """Stop a gateway, and send it reloads, pauses and stops at random until it ends."""
     stopping = asyncio.create_task(world.stop_gateway(name))
     process = world.gateways[name].process
     while not stopping.done():
-        await asyncio.sleep(SIGNALS_APART_S * random.random())
-        number = random.choice((signal.SIGHUP, signal.SIGTERM, signal.SIGSTOP))
-        process.send(number)
-        if number is signal.SIGSTOP:
-            await asyncio.sleep(SIGNALS_APART_S * random.random())
+        await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * random.random())
+        signal_number = random.choice((signal.SIGHUP, signal.SIGTERM, signal.SIGSTOP))
+        process.send(signal_number)
+        if signal_number is signal.SIGSTOP:
+            await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * random.random())
             process.send(signal.SIGCONT)
     await stopping
     await world.start_gateway(name)
@@ -56,7 +56,7 @@
 @fault
 async def pause(world, random, name):
     world.gateways[name].process.send(signal.SIGSTOP)
-    await asyncio.sleep(draw_s(random))
+    await asyncio.sleep(random_duration_s(random))
     world.gateways[name].process.send(signal.SIGCONT)
 
 
@@ -69,23 +69,23 @@
 async def store_link(world, random, name):
     relay = world.relays[name]
     relay.fail(random.choice(list(LinkFault)))
-    await asyncio.sleep(2.0 * draw_s(random))
+    await asyncio.sleep(2.0 * random_duration_s(random))
     relay.heal()
 
 
 @fault
 async def store_down(world, random, name):
-    await _outage(world, random, "down")
+    await _store_fault(world, random, "down")
 
 
 @fault
 async def store_answers_lost(world, random, name):
-    await _outage(world, random, "lost_answers")
+    await _store_fault(world, random, "lost_answers")
 
 
 @fault
 async def store_silent(world, random, name):
-    await _outage(world, random, "silent_watches")
+    await _store_fault(world, random, "silent_watches")
 
 
 @fault
@@ -105,7 +105,7 @@
 
 @fault
 async def large_version(world, random, name):
-    world.grow(random)
+    world.write_larger_version(random)
 
 
 @fault
@@ -118,13 +118,13 @@
 async def endpoint_leaves(world, random, name):
     endpoint = random.choice(sorted(world.endpoints))
     world.register(endpoint, state="draining")
-    await asyncio.sleep(draw_s(random))
+    await asyncio.sleep(random_duration_s(random))
     world.store.remove(f"servers/{endpoint}")
-    await asyncio.sleep(draw_s(random))
+    await asyncio.sleep(random_duration_s(random))
     world.register(endpoint)
 
 
-async def _outage(world, random, kind):
+async def _store_fault(world, random, kind):
     setattr(world.store.outage, kind, True)
-    await asyncio.sleep(draw_s(random))
+    await asyncio.sleep(random_duration_s(random))
     setattr(world.store.outage, kind, False)
--- a/tests/soak/test_gateway_soak.py
+++ b/tests/soak/test_gateway_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded runs; longer ones are a command (docs/MEASUREMENTS.md)."""
+"""Short seeded soak runs; docs/MEASUREMENTS.md has the command for longer ones."""
 
 import pytest
 
@@ -6,20 +6,20 @@
 from tests.support import run_async
 
 SECONDS = 6.0
-# Seeds that failed once, and why; a fresh one beside them.
+# Seeds that failed in the past, each with its cause, and one that never failed.
 SEEDS = {
-    2: "a gateway outlived its grace: a kept connection was waited for without limit",
-    9502: "a second stop at the very end of a planned one killed the process",
-    9603: "an engine was sent a request whose inputs had been freed meanwhile",
-    11: "a fresh one",
+    2: "a gateway ran past its grace: no time-out for a kept-alive connection",
+    9502: "a second stop signal at the end of a planned stop killed the process",
+    9603: "an engine was sent a request whose inputs had just been freed",
+    11: "has not failed",
 }
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_every_promise_holds_under_random_faults(seed, tmp_path):
+def test_guarantees_hold_under_random_faults(seed, tmp_path):
     """
-    Callers are told wrong things, or nothing, while processes are killed, paused and
-    restarted, the store fails in its ways, and endpoints reset, leave and hang.
+    Guards against wrong or missing answers while processes are killed, paused and
+    restarted, the store fails, and endpoints reset connections, leave and hang.
     """
     violations, statuses = run_async(run_soak(seed, SECONDS, tmp_path))
     assert violations == []
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,6 +1,6 @@
-"""Gateways, a store behind a relay for each, and endpoints, on loopback.
+"""Gateways, a relay to the store for each of them, and endpoints, on loopback.
 
-One of the relays is a thin link: a configuration that has grown fills it for seconds.
+One of the relays has a limited rate: a large configuration takes seconds.
 """
 
 import asyncio
@@ -11,9 +11,8 @@
 from tests.gateway.support import SEGMENTS, STREAM, open_gateway_cluster, route
 from tests.soak.endpoints import Records, Script
 
-# Gateways where nothing else is asked for.
-FEW = 3
-PLACES = ("cluj-a", "iasi-a")
+DEFAULT_GATEWAYS = 3
+DATA_CENTRES = ("cluj-a", "iasi-a")
 STAGES = [
     {"service": "first", "after": [], "sizeBytes": 1000},
     {"service": "second", "after": [0], "sizeBytes": 1000},
@@ -31,23 +30,25 @@
     "second": ("pieces", 2),
     "engine": ("engine", 2),
 }
-# The gateway with a thin link to the store, and that link's rate in bytes a second.
-THIN = "gateway-2"
-THIN_BYTES_PER_S = 300_000.0
-# Routes that a version brings in when the configuration grows, how often it does, and
-# the length of their names: what does not repeat.
+# The gateway with a rate-limited link to the store, and the rate in bytes per second.
+RATE_LIMITED_GATEWAY = "gateway-2"
+LINK_BYTES_PER_S = 300_000.0
+# Number of routes that a larger version adds, how often the configuration grows, and
+# the size in bits of the routes' random names, which do not compress.
 MORE_ROUTES = 400
-MOST_GROWTHS = 3
-NAME_BITS = 512
-# Settings of a gateway: its grace in seconds, and how long over it is a violation.
+MAX_GROWTHS = 3
+ROUTE_NAME_BITS = 512
+# Time that a gateway has for a planned stop, and the tolerance beyond it, in seconds.
 GRACE_S = 6.0
-OVER_S = 1.0
-# Lines of a process that a violation shows.
+GRACE_TOLERANCE_S = 1.0
+# Number of a process's last log lines that a violation shows.
 LOG_LINES = 40
 
 
 class SoakWorld:
-    """What faults break and callers use; ``violations`` is what did not hold."""
+    """The processes and endpoints of a soak run, and the violations found.
+
+    ``disturbed`` names the gateways on which a process fault is acting."""
 
     def __init__(self, world, stack, gateways):
         self.world = world
@@ -68,10 +69,16 @@
     async def start(self):
         for pool, (kind, count) in ENDPOINTS.items():
             for number in range(count):
-                await self._endpoint(f"{pool}-{number}", pool, kind, PLACES[number])
+                await self._start_endpoint(
+                    f"{pool}-{number}", pool, kind, DATA_CENTRES[number]
+                )
         self.configure()
         for name in self.names:
-            link = RateLimitedLink(THIN_BYTES_PER_S) if name == THIN else None
+            link = (
+                RateLimitedLink(LINK_BYTES_PER_S)
+                if name == RATE_LIMITED_GATEWAY
+                else None
+            )
             relay = Relay(self.store.address, link)
             await self._stack.enter_async_context(relay.serve())
             self.relays[name] = relay
@@ -80,14 +87,14 @@
         for gateway in self.gateways.values():
             await gateway.wait_until_ready()
 
-    async def _endpoint(self, name, pool, kind, place):
+    async def _start_endpoint(self, name, pool, kind, place):
         script = self.scripts[name] = Script(self.records, kind)
-        found = await self.world.endpoint(name, pool, script, place=place)
-        self.endpoints[name] = (found, pool, place)
+        endpoint = await self.world.endpoint(name, pool, script, place=place)
+        self.endpoints[name] = (endpoint, pool, place)
 
     def register(self, name, **record):
-        found, pool, place = self.endpoints[name]
-        self.store.put(f"servers/{name}", found.record(pool, place, **record))
+        endpoint, pool, place = self.endpoints[name]
+        self.store.put(f"servers/{name}", endpoint.record(pool, place, **record))
 
     def configure(self):
         """Write a new version; return its number."""
@@ -96,10 +103,14 @@
         self.world.configure(self._version, *routes, services=SERVICES)
         return self._version
 
-    def grow(self, random):
-        """Write a version with many routes more; return its number."""
-        if len(self._more_routes) < MOST_GROWTHS * MORE_ROUTES:
-            names = [f"{random.getrandbits(NAME_BITS):x}" for _ in range(MORE_ROUTES)]
+    def write_larger_version(self, random):
+        """Write a version with ``MORE_ROUTES`` more routes; return its number.
+
+        The configuration grows at most ``MAX_GROWTHS`` times."""
+        if len(self._more_routes) < MAX_GROWTHS * MORE_ROUTES:
+            names = [
+                f"{random.getrandbits(ROUTE_NAME_BITS):x}" for _ in range(MORE_ROUTES)
+            ]
             self._more_routes += [route(name, service="read") for name in names]
         return self.configure()
 
@@ -107,7 +118,7 @@
         caller, ready, peer = self._addresses[name]
         self.gateways[name] = await self.world.start_gateway(
             name,
-            PLACES[self.names.index(name) % len(PLACES)],
+            DATA_CENTRES[self.names.index(name) % len(DATA_CENTRES)],
             self.relays[name].address,
             caller_address=caller,
             ready_address=ready,
@@ -116,26 +127,28 @@
         )
 
     async def stop_gateway(self, name):
-        """Stop one as planned; it must end by itself within its grace."""
+        """Stop a gateway with SIGTERM; it must end with code 0 within its grace."""
         process = self.gateways[name].process
         process.send(signal.SIGTERM)
         try:
-            async with asyncio.timeout(GRACE_S + OVER_S):
+            async with asyncio.timeout(GRACE_S + GRACE_TOLERANCE_S):
                 code = await process.wait()
         except TimeoutError:
             process.send(signal.SIGABRT)
             await asyncio.sleep(1.0)
-            last = "\n    ".join(list(process.lines)[-LOG_LINES:])
-            self.violations.append(f"{name} still runs after its grace:\n    {last}")
+            last_lines = "\n    ".join(list(process.lines)[-LOG_LINES:])
+            self.violations.append(
+                f"{name} still runs after its grace:\n    {last_lines}"
+            )
             await process.kill()
             return
         if code != 0:
-            self.violations.append(f"{name} ended with {code} on a planned stop")
+            self.violations.append(f"{name} exited with code {code} on a planned stop")
 
 
 @asynccontextmanager
-async def open_soak(folder, gateways=FEW):
-    """Yield a world in which every gateway is ready; all of it ends with it."""
+async def open_soak(folder, gateways=DEFAULT_GATEWAYS):
+    """Yield a soak world with every gateway ready; stop everything on exit."""
     async with open_gateway_cluster(folder) as world, AsyncExitStack() as stack:
         soak = SoakWorld(world, stack, gateways)
         await soak.start()
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -13,7 +13,7 @@
 
 
 def run_async(work: Coroutine[Any, Any, Any]) -> Any:
-    """Run a test's coroutine, bounded in time so that a hang fails."""
+    """Run a test's coroutine; fail after ``TEST_TIMEOUT_S`` instead of hanging."""
     return asyncio.run(asyncio.wait_for(work, TEST_TIMEOUT_S))
 
 
--- a/tests/unit/test_reserved_ports.py
+++ b/tests/unit/test_reserved_ports.py
@@ -1,4 +1,4 @@
-"""Ports that a process comes back to."""
+"""Reserved ports, on which a process can listen again after a restart."""
 
 import socket
 from contextlib import ExitStack
@@ -9,30 +9,30 @@
 from amaranthtally.standins.ports import LOOPBACK, reserve_port
 from tests.support import plan, run_async
 
-TAKERS = 200
+LISTENERS = 200
 
 
 def listen(port):
     """Return a socket that listens as asyncio's servers do."""
-    found = socket.socket()
-    found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    found.bind((LOOPBACK, port))
-    found.listen()
-    return found
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.bind((LOOPBACK, port))
+    listener.listen()
+    return listener
 
 
 def is_free(port):
-    """Tell whether a stranger can take a port."""
-    with socket.socket() as stranger:
+    """Return whether another process could bind a port."""
+    with socket.socket() as probe:
         try:
-            stranger.bind((LOOPBACK, port))
+            probe.bind((LOOPBACK, port))
         except OSError:
             return False
         return True
 
 
-def test_a_process_that_is_down_keeps_its_port():
-    """A restarted process cannot listen: another one was given its port."""
+def test_stopped_process_keeps_its_ports():
+    """Guards against failed restarts because another process was assigned the port."""
 
     async def scenario():
         async with open_deployment(plan(), servers=1) as deployment:
@@ -47,7 +47,7 @@
     run_async(scenario())
 
 
-def test_a_reserved_port_takes_one_process_after_another():
+def test_reserved_port_accepts_successive_listeners():
     with reserve_port() as port:
         for _ in range(2):
             with listen(port) as first:
@@ -56,17 +56,17 @@
                     listen(port)
 
 
-def test_a_reserved_port_is_given_to_nobody_who_asks_for_any():
+def test_kernel_does_not_assign_a_reserved_port():
     with ExitStack() as stack:
         port = stack.enter_context(reserve_port())
-        takers = [stack.enter_context(listen(0)) for _ in range(TAKERS)]
-        for taker in takers[: TAKERS // 2]:
-            caller = socket.create_connection(taker.getsockname())
-            takers.append(stack.enter_context(caller))
-        assert port not in {taker.getsockname()[1] for taker in takers}
+        sockets = [stack.enter_context(listen(0)) for _ in range(LISTENERS)]
+        for listener in sockets[: LISTENERS // 2]:
+            caller = socket.create_connection(listener.getsockname())
+            sockets.append(stack.enter_context(caller))
+        assert port not in {listener.getsockname()[1] for listener in sockets}
 
 
-def test_a_port_is_free_again_after_its_reservation():
+def test_port_is_free_after_its_reservation():
     with reserve_port() as port:
         assert not is_free(port)
     assert is_free(port)
