--- a/bench/unread_logs.py
+++ b/bench/unread_logs.py
@@ -57,7 +57,7 @@
             cluster.configure(1, route("read"))
             gateway = await cluster.gateway()
             await _measure("read", gateway, seconds / 2)
-            gateway.process.stop_reading()
+            gateway.process.pause_output()
             await _measure("unread", gateway, seconds)
 
 
--- a/tests/settings/helpers.py
+++ b/tests/settings/helpers.py
@@ -99,7 +99,7 @@
 async def start_second_sidecar(deployment, pair):
     """Start a second sidecar of an endpoint on new addresses while the first runs."""
     addresses = {
-        key: deployment.own_address() for key in ("wire_address", "http_address")
+        key: deployment.reserve_address() for key in ("wire_address", "http_address")
     }
     settings = tomllib.loads(pair.sidecar_file.read_text()) | addresses
     file = deployment.write_settings(pair.id, settings)
