--- a/packages/simulator/src/amaranthtally/simulator/callers.py
+++ b/packages/simulator/src/amaranthtally/simulator/callers.py
@@ -6,7 +6,7 @@
 
 from amaranthtally.policy import Refuse, RequestOutcome
 from amaranthtally.simulator.clock import VirtualClock
-from amaranthtally.simulator.deployment import Deployment, Kind, Range
+from amaranthtally.simulator.deployment import Deployment, Range, RequestKind
 from amaranthtally.simulator.requests import Ending, Request, RequestRecord
 
 __all__ = ["Callers", "Workload"]
@@ -35,7 +35,7 @@
         """Return an independent random generator that is seeded by these names."""
         return Random(f"{self._seed}/" + "/".join(str(name) for name in names))
 
-    def new_request(self, kind: Kind, number: int, now: float) -> Request:
+    def new_request(self, kind: RequestKind, number: int, now: float) -> Request:
         """Return a request of a kind, numbered within the kind."""
         random = self.random_for(kind.name, number)
         session = random.randrange(kind.sessions)
@@ -52,9 +52,11 @@
             id=f"{kind.name}-{number}",
             kind=kind,
             arrived_at=now,
-            counts=tuple(_draw_int(random, stage.pieces) for stage in kind.stages),
+            piece_counts=tuple(
+                _draw_int(random, stage.pieces) for stage in kind.stages
+            ),
             prefix=tuple(p for p, size in zip(segments, sizes, strict=True) if size),
-            sizes=tuple(size for size in sizes if size),
+            prefix_sizes=tuple(size for size in sizes if size),
             output_tokens=_draw_int(random, kind.answer_tokens),
         )
 
@@ -107,14 +109,14 @@
 
     # Arrivals
 
-    def _schedule_arrival(self, kind: Kind, random: Random, number: int) -> None:
+    def _schedule_arrival(self, kind: RequestKind, random: Random, number: int) -> None:
         factor = self._factors.get(kind.name, self._factors.get("", 1.0))
         rate = max(1e-6, kind.rate * factor / kind.clump)
         at = self._clock.now + random.expovariate(rate)
         if at < self._deployment.seconds:
             self._clock.at(at, lambda: self._arrive(kind, random, number))
 
-    def _arrive(self, kind: Kind, random: Random, number: int) -> None:
+    def _arrive(self, kind: RequestKind, random: Random, number: int) -> None:
         for index in range(number, number + kind.clump):
             self.submit(self._workload.new_request(kind, index, self._clock.now))
         self._schedule_arrival(kind, random, number + kind.clump)
--- a/packages/simulator/src/amaranthtally/simulator/deployment.py
+++ b/packages/simulator/src/amaranthtally/simulator/deployment.py
@@ -15,7 +15,7 @@
     "Deployment",
     "EnginePool",
     "Fault",
-    "Kind",
+    "RequestKind",
     "PiecePool",
     "Prices",
     "Range",
@@ -95,7 +95,7 @@
     after: tuple[int, ...] = ()
 
 
-class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RequestKind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
     A kind of request: rate per second, times in seconds, sizes in tokens.
 
@@ -155,7 +155,7 @@
 
     name: str
     data_centres: tuple[DataCentre, ...]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     piece_pools: tuple[PiecePool, ...] = ()
     engine_pools: tuple[EnginePool, ...] = ()
     service_pools: tuple[ServicePool, ...] = ()
@@ -169,7 +169,7 @@
     retry_reserve: float = 8.0
 
     @property
-    def longest_s(self) -> float:
+    def longest_deadline_s(self) -> float:
         """The longest deadline of any kind, in seconds."""
         return max(kind.deadline_s for kind in self.kinds)
 
@@ -217,7 +217,7 @@
 
 
 def _check_kind(
-    path: Path | str, field: str, kind: Kind, deployment: Deployment
+    path: Path | str, field: str, kind: RequestKind, deployment: Deployment
 ) -> None:
     check_known(path, f"{field}.pool", kind.pool, deployment.serving_pools)
     if not 0 < kind.objective_s <= kind.deadline_s:
--- a/packages/simulator/src/amaranthtally/simulator/draw.py
+++ b/packages/simulator/src/amaranthtally/simulator/draw.py
@@ -9,8 +9,8 @@
     Deployment,
     EnginePool,
     Fault,
-    Kind,
     PiecePool,
+    RequestKind,
     ServicePool,
     Stage,
 )
@@ -102,7 +102,7 @@
 
 def _draw_kinds(
     random: Random, pools: tuple[PiecePool, ...], centres: int
-) -> tuple[Kind, ...]:
+) -> tuple[RequestKind, ...]:
     load = random.uniform(*BASE_LOAD)
     graphs = [_large_stages(random), _chain_stages(random), _query_stages(random)]
     rates = [random.uniform(0.5, 1.5) for _ in graphs]
@@ -126,8 +126,8 @@
             ("claim", "walk", "query"), rates, ranks, graphs, strict=True
         )
     ]
-    read = Kind("read", "desk", random.uniform(2.0, 8.0), 0.4, 2.0, worth=0.3)
-    order = Kind(
+    read = RequestKind("read", "desk", random.uniform(2.0, 8.0), 0.4, 2.0, worth=0.3)
+    order = RequestKind(
         "order", "desk", random.uniform(1.0, 4.0), 0.5, 2.0, call="effect", worth=0.5
     )
     return (*streams, read, order)
@@ -167,10 +167,10 @@
 
 def _streaming_kind(
     random: Random, name: str, rate: float, rank: int, stages: tuple[Stage, ...]
-) -> Kind:
+) -> RequestKind:
     objective_s = 0.9 + 0.45 * len(stages) + random.uniform(0.0, 0.4)
     worth = round(random.uniform(0.4, 4.0), 2)
-    return Kind(
+    return RequestKind(
         name=name,
         pool="engines",
         rate=round(rate, 3),
--- a/packages/simulator/src/amaranthtally/simulator/engines.py
+++ b/packages/simulator/src/amaranthtally/simulator/engines.py
@@ -52,7 +52,7 @@
         """Start an attempt, or refuse it."""
         attempt.on_load(self._load())
         request = attempt.request
-        tokens = sum(request.sizes) + request.output_tokens
+        tokens = sum(request.prefix_sizes) + request.output_tokens
         used = sum(self._running.values())
         is_full = len(self._running) >= self._pool.slots
         if is_full or used + tokens > self._pool.token_capacity:
@@ -85,7 +85,7 @@
     def _prefill_s(self, attempt: Attempt) -> float:
         tokens = 0
         request = attempt.request
-        for segment, size in zip(request.prefix, request.sizes, strict=True):
+        for segment, size in zip(request.prefix, request.prefix_sizes, strict=True):
             if segment in self._cache:
                 self._cache.move_to_end(segment)
                 continue
--- a/packages/simulator/src/amaranthtally/simulator/entry_manager.py
+++ b/packages/simulator/src/amaranthtally/simulator/entry_manager.py
@@ -45,7 +45,7 @@
         self._data_centres = data_centres
         self._start = start
         self._build_settings = build_settings
-        self._members: dict[str, ManagedEntry] = {}
+        self._entries: dict[str, ManagedEntry] = {}
         self._records: dict[str, Peer] = {}
         for name in data_centres:
             self._launch(name)
@@ -57,22 +57,24 @@
         return list(self._data_centres)
 
     def __getitem__(self, name: str) -> Entry:
-        return self._members[name].entry
+        return self._entries[name].entry
 
     def __iter__(self) -> Iterator[Entry]:
-        return (member.entry for member in self._members.values())
+        return (managed.entry for managed in self._entries.values())
 
     def running(self, name: str) -> Entry | None:
         """Return a running entry, ``None`` if the entry is down."""
-        member = self._members.get(name)
-        return member.entry if member is not None and member.entry.is_running else None
+        managed = self._entries.get(name)
+        return (
+            managed.entry if managed is not None and managed.entry.is_running else None
+        )
 
     def accepting(self) -> list[ManagedEntry]:
         """Return the running entries that accept callers."""
         return [
-            member
-            for member in self._members.values()
-            if member.entry.is_running and not member.entry.leaving
+            managed
+            for managed in self._entries.values()
+            if managed.entry.is_running and not managed.entry.leaving
         ]
 
     # Lifecycle
@@ -107,7 +109,7 @@
 
     def _launch(self, name: str) -> None:
         data_centre = self._data_centres[name]
-        self._members[name] = self._start(name, data_centre)
+        self._entries[name] = self._start(name, data_centre)
         self._records[name] = Peer(name, data_centre)
 
     def _end_when_idle(self, entry: Entry, end: float, downtime_s: float) -> None:
--- a/packages/simulator/src/amaranthtally/simulator/faults.py
+++ b/packages/simulator/src/amaranthtally/simulator/faults.py
@@ -44,7 +44,10 @@
         )
     last = max((fault.start_s + fault.length_s for fault in faults), default=0.0)
     settled = last + RECORD_TTL_S + START_S + START_SPREAD_S + OWNER_AGREEMENT_S
-    if settled < simulation.deployment.seconds + simulation.deployment.longest_s:
+    if (
+        settled
+        < simulation.deployment.seconds + simulation.deployment.longest_deadline_s
+    ):
         simulation.clock.at(settled, simulation.invariants.check_agreement)
     return simulation
 
--- a/packages/simulator/src/amaranthtally/simulator/policy_conversion.py
+++ b/packages/simulator/src/amaranthtally/simulator/policy_conversion.py
@@ -17,7 +17,7 @@
     route_arrival,
     route_pipeline,
 )
-from amaranthtally.simulator.deployment import Deployment, Kind, PiecePool
+from amaranthtally.simulator.deployment import Deployment, PiecePool, RequestKind
 from amaranthtally.simulator.requests import Request
 
 __all__ = ["KindRouting", "policy_arrival", "policy_pools", "kind_routing"]
@@ -52,7 +52,7 @@
     return pools
 
 
-def kind_routing(kind: Kind) -> KindRouting:
+def kind_routing(kind: RequestKind) -> KindRouting:
     """Return the route and the pipeline of a kind."""
     call_kind = CALL_KINDS[kind.call]
     route = Route(
@@ -88,8 +88,10 @@
         rank=request.kind.priority,
         size_bytes=INPUT_BYTES,
         prefix=request.prefix,
-        prefix_sizes=request.sizes,
-        piece_work=PieceWork(stages, request.counts, request.id) if stages else None,
+        prefix_sizes=request.prefix_sizes,
+        piece_work=PieceWork(stages, request.piece_counts, request.id)
+        if stages
+        else None,
     )
 
 
--- a/packages/simulator/src/amaranthtally/simulator/processes.py
+++ b/packages/simulator/src/amaranthtally/simulator/processes.py
@@ -14,7 +14,7 @@
     One run of a process; each restart creates another object.
 
     ``is_running`` is false after termination. A frozen process queues its callbacks and
-    executes them when it resumes; ``resumed_at`` is the last time of that.
+    executes them when it resumes; ``resumed_at`` is the time of the last resumption.
     """
 
     def __init__(self, data_centre: str, clock: VirtualClock, network: Network) -> None:
@@ -70,7 +70,7 @@
         return self._network.reaches(self.data_centre, data_centre)
 
     def reaches_server(self, server: Server) -> bool:
-        """Whether messages reach an endpoint."""
+        """Whether messages pass to and from an endpoint."""
         return not server.is_unreachable and self.reaches(server.data_centre)
 
     def delay_s(self, data_centre: str) -> float:
--- a/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
+++ b/packages/simulator/src/amaranthtally/simulator/request_mechanisms.py
@@ -82,7 +82,7 @@
 
 @without("ranks", with_arrivals)
 def without_rank(arrival: Arrival) -> Arrival:
-    """Return an arrival with priority 0."""
+    """Return an arrival with priority 0, the same for all kinds."""
     return replace(arrival, priority=0)
 
 
--- a/packages/simulator/src/amaranthtally/simulator/requests.py
+++ b/packages/simulator/src/amaranthtally/simulator/requests.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from amaranthtally.simulator.deployment import Kind
+from amaranthtally.simulator.deployment import RequestKind
 
 __all__ = ["Ending", "Request", "RequestRecord"]
 
@@ -23,19 +23,19 @@
     """
     A request from its caller's view; times in seconds.
 
-    ``counts`` holds the number of pieces of each stage, ``prefix`` the ids of the
-    prompt segments and ``sizes`` their sizes in tokens. ``tries`` counts how often it
-    was sent, last at ``sent_at``; ``awaits_response`` is false between tries.
+    ``piece_counts`` holds the number of pieces of each stage, ``prefix`` the ids of the
+    prompt segments and ``prefix_sizes`` their sizes in tokens. ``tries`` counts how
+    often it was sent, last at ``sent_at``; ``awaits_response`` is false between tries.
     ``first_event_at`` is the time of the first event of the current try, and
     ``stage_s`` the stage time spent on the request.
     """
 
     id: str
-    kind: Kind
+    kind: RequestKind
     arrived_at: float
-    counts: tuple[int, ...]
+    piece_counts: tuple[int, ...]
     prefix: tuple[int, ...]
-    sizes: tuple[int, ...]
+    prefix_sizes: tuple[int, ...]
     output_tokens: int
     tries: int = 0
     sent_at: float = 0.0
--- a/packages/simulator/src/amaranthtally/simulator/services.py
+++ b/packages/simulator/src/amaranthtally/simulator/services.py
@@ -12,7 +12,7 @@
 
 
 class PlainServer(RequestServer):
-    """Runs a request in each slot; ``run_ids`` lists the request ids of all runs."""
+    """Runs a request in each slot; ``run_ids`` has a request id for each run."""
 
     def __init__(
         self, clock: VirtualClock, endpoint: Endpoint, pool: ServicePool, random: Random
--- a/packages/simulator/src/amaranthtally/simulator/simulation.py
+++ b/packages/simulator/src/amaranthtally/simulator/simulation.py
@@ -74,7 +74,7 @@
     def run(self) -> "Simulation":
         """Simulate until all requests have ended, then check the invariants."""
         self.callers.start()
-        end = self.deployment.seconds + self.deployment.longest_s
+        end = self.deployment.seconds + self.deployment.longest_deadline_s
         self.clock.run(end)
         self.invariants.check_end()
         return self
--- a/packages/simulator/src/amaranthtally/simulator/stage_servers.py
+++ b/packages/simulator/src/amaranthtally/simulator/stage_servers.py
@@ -21,11 +21,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PieceCall:
-    """A call with pieces; ``sizes`` are their result sizes in bytes."""
+    """A call with pieces; ``result_sizes`` are in bytes."""
 
     pieces: tuple[PieceSpec, ...]
     requests: tuple[Request, ...]
-    sizes: tuple[float, ...]
+    result_sizes: tuple[float, ...]
     on_end: Callable[[PiecesEnded], None]
 
 
@@ -138,7 +138,7 @@
     def _compute(self, call: PieceCall) -> _CallResult:
         computed_count = 0
         outcomes = []
-        for piece, size in zip(call.pieces, call.sizes, strict=True):
+        for piece, size in zip(call.pieces, call.result_sizes, strict=True):
             outcome = self._compute_piece(piece, size)
             computed_count += bool(outcome.handle)
             outcomes.append(outcome)
--- a/packages/simulator/src/amaranthtally/simulator/variants.py
+++ b/packages/simulator/src/amaranthtally/simulator/variants.py
@@ -37,7 +37,7 @@
     "without",
 ]
 
-Switch = TypeVar("Switch")
+Replacement = TypeVar("Replacement")
 
 
 def _same_settings(settings: PolicySettings) -> PolicySettings:
@@ -73,13 +73,17 @@
 
 
 def without(
-    name: str, to_variant: Callable[[Switch], Variant]
-) -> Callable[[Switch], Switch]:
-    """Register a variant in which the decorated object replaces a mechanism."""
+    name: str, to_variant: Callable[[Replacement], Variant]
+) -> Callable[[Replacement], Replacement]:
+    """
+    Return a decorator that registers a variant without a mechanism.
 
-    def register(switch: Switch) -> Switch:
-        _VARIANTS[f"no {name}"] = replace(to_variant(switch), name=f"no {name}")
-        return switch
+    ``to_variant`` builds the variant from the decorated replacement.
+    """
+
+    def register(replacement: Replacement) -> Replacement:
+        _VARIANTS[f"no {name}"] = replace(to_variant(replacement), name=f"no {name}")
+        return replacement
 
     return register
 
--- a/tests/simulator/support.py
+++ b/tests/simulator/support.py
@@ -7,8 +7,8 @@
     Deployment,
     EnginePool,
     Fault,
-    Kind,
     PiecePool,
+    RequestKind,
     ServicePool,
     Stage,
 )
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parent.parent.parent
 EXAMPLES = sorted((ROOT / "examples" / "experiments").glob("*.toml"))
 
-CLAIM = Kind(
+CLAIM = RequestKind(
     "claim",
     "engines",
     3.0,
@@ -29,8 +29,8 @@
     answer_tokens=(20, 60),
     sessions=10,
 )
-READ = Kind("read", "desk", 5.0, 0.4, 2.0)
-ORDER = Kind("order", "desk", 5.0, 0.4, 2.0, "effect")
+READ = RequestKind("read", "desk", 5.0, 0.4, 2.0)
+ORDER = RequestKind("order", "desk", 5.0, 0.4, 2.0, "effect")
 
 
 def small_deployment(*faults, kinds=(CLAIM, READ, ORDER), seconds=8.0, **options):
--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -93,7 +93,7 @@
 
 
 def test_finished_days_are_kept_after_an_interrupt(tmp_path, path, monkeypatch):
-    """Ctrl-C discards the results of all finished days."""
+    """Fails if Ctrl-C discards the results of finished days."""
 
     def interrupted(trials, jobs):
         yield next(iter(play_days(trials[:1], 1)))
@@ -110,7 +110,7 @@
 
 
 def test_a_terminated_run_keeps_its_days_and_leaves_no_workers(tmp_path, path):
-    """The workers of a run keep waiting after the run was terminated."""
+    """Fails if workers keep waiting for work after the run was terminated."""
     out = tmp_path / "out"
     days = out / "days.jsonl"
     arguments = ["experiment", "run", path, "--seeds", "200", "--jobs", "2"]
@@ -127,7 +127,7 @@
 
 
 def test_a_terminated_search_leaves_no_workers():
-    """The workers of a search keep waiting after the search was terminated."""
+    """Fails if workers keep waiting for work after the search was terminated."""
     with running_command(
         ["experiment", "search", "--days", "500", "--jobs", "2"]
     ) as running:
@@ -167,17 +167,17 @@
 
 
 def test_a_search_exits_with_1_after_an_invariant_violation(monkeypatch, capsys):
-    def play(job):
+    def fake_play(job):
         day = DayResult(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
         return PlayedDay(job.trial, day)
 
-    monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._play", play)
+    monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._play", fake_play)
     assert run_command("experiment", "search", "--days", 2, "--jobs", 1) == 1
     assert "order-1 ran 2 times" in capsys.readouterr().out
 
 
 def test_parallel_and_sequential_days_are_equal():
     trials = day_jobs([small_deployment(seconds=1.0)], [1, 2], variant_names()[:2])
-    in_turn = {p.trial: p.day for p in play_days(trials, 1)}
-    assert {p.trial: p.day for p in play_days(trials, 2)} == in_turn
-    assert all(c.pairs == 2 for c in compare(in_turn, "policy", ["worth"]))
+    sequential = {p.trial: p.day for p in play_days(trials, 1)}
+    assert {p.trial: p.day for p in play_days(trials, 2)} == sequential
+    assert all(c.pairs == 2 for c in compare(sequential, "policy", ["worth"]))
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -25,11 +25,11 @@
     "kill_all": "",
     "rolling_stop": "",
 }
-SEARCHED_S = 10.0
+RANDOM_DAY_S = 10.0
 
 
-def run_small(*faults, seed=1, chosen=POLICY, **options):
-    return simulate(small_deployment(*faults, **options), seed, chosen)
+def run_small(*faults, seed=1, policy_variant=POLICY, **options):
+    return simulate(small_deployment(*faults, **options), seed, policy_variant)
 
 
 def test_requests_are_on_time_without_faults():
@@ -57,32 +57,36 @@
 @pytest.mark.parametrize("pool", ["engines", "desk"])
 def test_requests_are_on_time_despite_a_failing_endpoint(kind, pool):
     simulation = run_small(fault(kind, f"{pool}/cluj-a/0"), seconds=12.0)
-    after = [v for v in simulation.callers.records if v.arrived_at > 8.0]
+    after = [record for record in simulation.callers.records if record.arrived_at > 8.0]
     assert simulation.invariants.violations == []
-    assert sum(v.ending is Ending.ON_TIME for v in after) >= 0.95 * len(after)
+    assert sum(record.ending is Ending.ON_TIME for record in after) >= 0.95 * len(after)
 
 
 @pytest.mark.parametrize("name", variant_names())
 def test_each_variant_receives_the_same_requests(name):
     base = run_small(seconds=4.0)
-    other = run_small(seconds=4.0, chosen=variant(name))
+    other = run_small(seconds=4.0, policy_variant=variant(name))
 
     def arrivals(simulation):
-        return sorted((v.kind, v.arrived_at) for v in simulation.callers.records)
+        return sorted(
+            (record.kind, record.arrived_at) for record in simulation.callers.records
+        )
 
     assert arrivals(other) == arrivals(base)
 
 
 def test_a_variant_without_owners_is_detected():
-    """The check misses entries that permanently disagree on a pool owner."""
+    """Fails if the check misses a permanent disagreement on a pool owner."""
     simulation = run_small(
-        fault("kill", "cluj-a/0", 1.0, 1.0), seconds=12.5, chosen=variant("no owners")
+        fault("kill", "cluj-a/0", 1.0, 1.0),
+        seconds=12.5,
+        policy_variant=variant("no owners"),
     )
     assert any("owners at" in line for line in simulation.invariants.violations)
 
 
 def test_an_effect_that_runs_twice_is_detected():
-    """The check misses a policy that repeats requests which may run only once."""
+    """Fails if the check misses a request that may run only once and was repeated."""
 
     def repeat(arrival):
         stages = tuple(replace(s, repeatable=True) for s in arrival.pipeline.stages)
@@ -90,7 +94,7 @@
 
     repeating = Variant(adapt_arrival=repeat)
     lost = fault("lost_answers", "desk/cluj-a/0", 1.0, 5.0)
-    simulation = run_small(lost, chosen=repeating)
+    simulation = run_small(lost, policy_variant=repeating)
     effects = [
         line for line in simulation.invariants.violations if line.startswith("order-")
     ]
@@ -99,7 +103,7 @@
 
 
 def test_an_effect_that_runs_after_its_refusal_is_detected():
-    """A queued call runs after its caller was told that it was not run."""
+    """Fails if the check misses a call that runs after it was reported as not run."""
     simulation = Simulation(small_deployment(kinds=(ORDER,)), 1)
     request = simulation.workload.new_request(ORDER, 0, 0.0)
     request.tries = 1
@@ -115,11 +119,13 @@
 
 
 def test_unbounded_retries_are_detected():
-    """The check misses retries beyond the budget."""
+    """Fails if the check misses retries beyond the budget."""
     lost = fault("lost_answers", "desk", 1.0, 6.0)
     kinds = (frequent(ORDER, "read", "idempotent"),)
     options = {"kinds": kinds, "retry_reserve": 1.0, "retry_budget": 0.05}
-    unbounded = run_small(lost, chosen=variant("no bound of retries"), **options)
+    unbounded = run_small(
+        lost, policy_variant=variant("no bound of retries"), **options
+    )
     assert any("retries of" in line for line in unbounded.invariants.violations)
     assert run_small(lost, **options).invariants.violations == []
 
@@ -131,25 +137,29 @@
 
 @pytest.mark.parametrize("block", range(10))
 def test_random_days_violate_no_invariant(block):
-    """An untested combination of faults and requests violates an invariant."""
+    """Guards against violations by combinations of faults that no other test has."""
     for seed in range(5 * block, 5 * block + 5):
-        day = simulate_day(draw_deployment(seed, seconds=SEARCHED_S), seed)
+        day = simulate_day(draw_deployment(seed, seconds=RANDOM_DAY_S), seed)
         assert day.broken == (), f"deployment {seed}"
 
 
 def test_a_refusal_stops_the_caller_timeout():
     """
-    The caller timeout keeps running after a refusal.
+    A caller timeout must not keep running after a refusal.
 
-    A caller that is to retry after two seconds was counted as gone after one.
+    A caller that was to retry after two seconds was counted as gone after one.
     """
     deployment = small_deployment(kinds=(with_caller_timeout(CLAIM, 1.0),))
-    clock, drawn = VirtualClock(), Workload(deployment, 1)
+    clock, workload = VirtualClock(), Workload(deployment, 1)
     sent = []
     callers = Callers(
-        clock, deployment, drawn, lambda request, random: not sent.append(clock.now), id
+        clock,
+        deployment,
+        workload,
+        lambda request, random: not sent.append(clock.now),
+        id,
     )
-    request = drawn.new_request(deployment.kinds[0], 0, 0.0)
+    request = workload.new_request(deployment.kinds[0], 0, 0.0)
     callers.submit(request)
     refusal = Refuse(
         request.try_id, RequestOutcome.NOT_RUN, RefusalReason.OVERLOAD, 2.0
