--- a/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
+++ b/packages/operator/src/amaranthtally/operator/experiment/day_runs.py
@@ -1,4 +1,4 @@
-"""Plays days side by side, and compares variants pair by pair."""
+"""Simulates days in parallel processes and compares variants on the same days."""
 
 from collections.abc import Generator, Iterable, Mapping, Sequence
 from concurrent.futures import as_completed
@@ -10,18 +10,22 @@
 from amaranthtally.operator.experiment.intervals import Interval, paired_difference
 from amaranthtally.operator.experiment.trial_log import (
     DayTrial,
-    PlayedDay,
+    SimulatedDay,
     deployment_digest,
 )
 from amaranthtally.operator.experiment.workers import open_workers
 from amaranthtally.simulator.days import DayResult, simulate_day
 from amaranthtally.simulator.deployment import Deployment
 
-__all__ = ["Comparison", "DayJob", "compare", "day_jobs", "play_days"]
+__all__ = ["Comparison", "DayJob", "compare", "day_jobs", "simulate_days"]
 
 
 class Comparison(msgspec.Struct, frozen=True):
-    """A figure of a variant, and its difference to the reference, each ± half."""
+    """
+    A figure of a variant and its mean paired difference from the reference.
+
+    ``half`` is half the width of the 95% interval of ``difference``.
+    """
 
     variant: str
     figure: str
@@ -31,13 +35,13 @@
     pairs: int
 
     @property
-    def is_clear(self) -> bool:
-        """Whether the interval of the difference leaves out 0."""
-        return Interval(self.difference, self.half).is_clear
+    def excludes_zero(self) -> bool:
+        """Whether the interval of the difference excludes 0."""
+        return Interval(self.difference, self.half).excludes_zero
 
 
 class DayJob(NamedTuple):
-    """A day to be played, and its deployment."""
+    """A day to simulate and its deployment."""
 
     trial: DayTrial
     deployment: Deployment
@@ -46,7 +50,7 @@
 def day_jobs(
     deployments: Iterable[Deployment], seeds: Iterable[int], variants: Sequence[str]
 ) -> list[DayJob]:
-    """Return each day that an experiment plays, those of one pair side by side."""
+    """Return all days of an experiment; the variants of a day follow one another."""
     return [
         DayJob(DayTrial(deployment.name, digest, seed, name), deployment)
         for deployment in deployments
@@ -56,24 +60,27 @@
     ]
 
 
-def play_days(jobs: Sequence[DayJob], workers: int) -> Generator[PlayedDay, None, None]:
+def simulate_days(
+    jobs: Sequence[DayJob], workers: int
+) -> Generator[SimulatedDay, None, None]:
     """
-    Yield days as they are played, in any order.
+    Yield simulated days in the order in which they finish.
 
-    Closed early, as by Ctrl-C, it plays none of those that have not begun.
+    If the generator is closed early, as after Ctrl-C, the days that have not started
+    are not simulated.
     """
     if workers <= 1:
-        yield from map(_play, jobs)
+        yield from map(_simulate, jobs)
         return
     with open_workers(workers) as pool:
-        futures = [pool.submit(_play, job) for job in jobs]
+        futures = [pool.submit(_simulate, job) for job in jobs]
         for future in as_completed(futures):
             yield future.result()
 
 
-def _play(job: DayJob) -> PlayedDay:
+def _simulate(job: DayJob) -> SimulatedDay:
     day = simulate_day(job.deployment, job.trial.seed, job.trial.variant)
-    return PlayedDay(job.trial, day)
+    return SimulatedDay(job.trial, day)
 
 
 def compare(
@@ -84,25 +91,33 @@
     for trial, day in days.items():
         key = (trial.digest, trial.seed)
         by_variant.setdefault(trial.variant, {})[key] = day
-    base = by_variant.get(reference, {})
+    reference_days = by_variant.get(reference, {})
     return [
         comparison
-        for name, played in by_variant.items()
+        for name, days_by_key in by_variant.items()
         for figure in figures
-        if (comparison := _compare_one(name, figure, played, base)) is not None
+        if (comparison := _compare_one(name, figure, days_by_key, reference_days))
+        is not None
     ]
 
 
 def _compare_one(
     name: str,
     figure: str,
-    played: Mapping[tuple[str, int], DayResult],
-    base: Mapping[tuple[str, int], DayResult],
+    days_by_key: Mapping[tuple[str, int], DayResult],
+    reference_days: Mapping[tuple[str, int], DayResult],
 ) -> Comparison | None:
-    keys = [key for key in played if key in base]
+    keys = [key for key in days_by_key if key in reference_days]
     if len(keys) < 2:
         return None
-    own = [float(getattr(played[key], figure)) for key in keys]
-    other = [float(getattr(base[key], figure)) for key in keys]
-    found = paired_difference(own, other)
-    return Comparison(name, figure, fmean(own), found.mean, found.half, len(keys))
+    variant_values = [float(getattr(days_by_key[key], figure)) for key in keys]
+    reference_values = [float(getattr(reference_days[key], figure)) for key in keys]
+    difference = paired_difference(variant_values, reference_values)
+    return Comparison(
+        name,
+        figure,
+        fmean(variant_values),
+        difference.mean,
+        difference.half_width,
+        len(keys),
+    )
--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -13,9 +13,9 @@
 from amaranthtally.operator.experiment.day_runs import (
     compare,
     day_jobs,
-    play_days,
+    simulate_days,
 )
-from amaranthtally.operator.experiment.trial_log import PlayedDay, TrialLog
+from amaranthtally.operator.experiment.trial_log import SimulatedDay, TrialLog
 from amaranthtally.operator.main import app
 from amaranthtally.simulator.days import DayResult
 from amaranthtally.simulator.deployment import write_deployment
@@ -96,11 +96,11 @@
     """Fails if Ctrl-C discards the results of finished days."""
 
     def interrupted(trials, jobs):
-        yield next(iter(play_days(trials[:1], 1)))
+        yield next(iter(simulate_days(trials[:1], 1)))
         raise KeyboardInterrupt
 
     monkeypatch.setattr(
-        "amaranthtally.operator.experiment.day_commands.play_days", interrupted
+        "amaranthtally.operator.experiment.day_commands.simulate_days", interrupted
     )
     out = tmp_path / "out"
     assert run_experiment(out, path) == 130
@@ -169,15 +169,17 @@
 def test_a_search_exits_with_1_after_an_invariant_violation(monkeypatch, capsys):
     def fake_play(job):
         day = DayResult(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
-        return PlayedDay(job.trial, day)
+        return SimulatedDay(job.trial, day)
 
-    monkeypatch.setattr("amaranthtally.operator.experiment.day_runs._play", fake_play)
+    monkeypatch.setattr(
+        "amaranthtally.operator.experiment.day_runs._simulate", fake_play
+    )
     assert run_command("experiment", "search", "--days", 2, "--jobs", 1) == 1
     assert "order-1 ran 2 times" in capsys.readouterr().out
 
 
 def test_parallel_and_sequential_days_are_equal():
     trials = day_jobs([small_deployment(seconds=1.0)], [1, 2], variant_names()[:2])
-    sequential = {p.trial: p.day for p in play_days(trials, 1)}
-    assert {p.trial: p.day for p in play_days(trials, 2)} == sequential
+    sequential = {p.trial: p.day for p in simulate_days(trials, 1)}
+    assert {p.trial: p.day for p in simulate_days(trials, 2)} == sequential
     assert all(c.pairs == 2 for c in compare(sequential, "policy", ["worth"]))
