--- a/tests/simulator/test_commands.py
+++ b/tests/simulator/test_commands.py
@@ -167,12 +167,12 @@
 
 
 def test_a_search_exits_with_1_after_an_invariant_violation(monkeypatch, capsys):
-    def fake_play(job):
+    def fake_simulate(job):
         day = DayResult(0, 0, 0, 0, 0, 0, 0, 0, broken=("order-1 ran 2 times",))
         return SimulatedDay(job.trial, day)
 
     monkeypatch.setattr(
-        "amaranthtally.operator.experiment.day_runs._simulate", fake_play
+        "amaranthtally.operator.experiment.day_runs._simulate", fake_simulate
     )
     assert run_command("experiment", "search", "--days", 2, "--jobs", 1) == 1
     assert "order-1 ran 2 times" in capsys.readouterr().out
--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -114,7 +114,7 @@
     simulation.servers["desk/cluj-a/0"].run_ids.append(request.id)
     simulation.invariants.check_end()
     assert simulation.invariants.violations == [
-        "order-0.1 ran after it was reported as not run"
+        "order-0.1 ran after it was said not to have"
     ]
 
 
