--- a/tests/simulator/test_days.py
+++ b/tests/simulator/test_days.py
@@ -147,7 +147,7 @@
     """
     A caller timeout must not keep running after a refusal.
 
-    A caller that was to retry after two seconds was counted as gone after one.
+    A caller that was to retry after two seconds was counted as abandoned after one.
     """
     deployment = small_deployment(kinds=(with_caller_timeout(CLAIM, 1.0),))
     clock, workload = VirtualClock(), Workload(deployment, 1)
