--- a/packages/standins/src/amaranthtally/standins/chaos/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__main__.py
@@ -93,7 +93,7 @@
             _inject_all(world, faults, names or fault_names())
         )
         await callers.run(requests, at_once)
-        # Keep sending until the last fault has been healed, so that every fault occurs
+        # Keep sending until the last fault has been undone, so that every fault occurs
         # under load.
         number = requests
         while not injecting.done():
--- a/packages/standins/src/amaranthtally/standins/chaos/callers.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/callers.py
@@ -89,8 +89,8 @@
             self._check_stream(text, content)
         else:
             self._world.counts["answered whole"] += 1
-            found = msgspec.json.decode(content)["output"]["text"]
-            self._check_text(text, found)
+            answer = msgspec.json.decode(content)["output"]["text"]
+            self._check_text(text, answer)
 
     def _check_stream(self, text: str, content: bytes) -> None:
         events = [_event(block) for block in content.split(EVENT_END) if block]
@@ -106,9 +106,9 @@
         self._check_text(text, parts)
         self._check_text(text, data["output"]["text"])
 
-    def _check_text(self, text: str, found: str) -> None:
-        if found != expected_text(text, self._tokens):
-            self._world.add_violation(f"{text!r} got the wrong answer {found!r}")
+    def _check_text(self, text: str, answer: str) -> None:
+        if answer != expected_text(text, self._tokens):
+            self._world.add_violation(f"{text!r} got the wrong answer {answer!r}")
 
     def _count_refusal(self, content: bytes) -> None:
         self._count_refusal_document(msgspec.json.decode(content))
@@ -200,9 +200,9 @@
 
 def expected_text(text: str, tokens: int) -> str:
     """Return the only correct answer to ``text``, of ``tokens`` words."""
-    found = RetrieverStandIn("").answer({"query": text})
-    kept = RerankerStandIn("").answer(found)["documents"]
-    return "".join(words_for("\n".join([text, *kept]), tokens))
+    documents = RetrieverStandIn("").answer({"query": text})
+    best_documents = RerankerStandIn("").answer(documents)["documents"]
+    return "".join(words_for("\n".join([text, *best_documents]), tokens))
 
 
 def _event(block: bytes) -> tuple[str, dict[str, Any]]:
--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -82,7 +82,7 @@
         relay = world.relays[name]
         relay.fail(fault)
         await asyncio.sleep(_duration(world))
-        relay.heal()
+        relay.clear_fault()
 
 
 @_fault
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -286,15 +286,17 @@
         """Return the records of a stand-in."""
         url = f"http://127.0.0.1:{process.ports['port']}/_records"
         async with self.http.get(url) as response:
-            found: list[dict[str, Any]] = await response.json()
-            return found
+            records: list[dict[str, Any]] = await response.json()
+            return records
 
     async def wait_ready(self, number: int = 0) -> None:
         """Wait until an entry is ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
-                async with self.http.get(self.entry_url(number) + "/readyz") as found:
-                    if found.status == 200:
+                async with self.http.get(
+                    self.entry_url(number) + "/readyz"
+                ) as response:
+                    if response.status == 200:
                         return
                 await asyncio.sleep(READY_POLL_S)
 
@@ -304,8 +306,8 @@
         url = self.admin_url(number) + "/admin/v1/status"
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
-                async with self.http.get(url, headers=headers) as found:
-                    if (await found.json())["revision"] >= revision:
+                async with self.http.get(url, headers=headers) as response:
+                    if (await response.json())["revision"] >= revision:
                         return
                 await asyncio.sleep(READY_POLL_S)
 
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -24,7 +24,7 @@
     How a link fails.
 
     ``RESET`` aborts the open connections. ``HELD`` holds bytes back and delivers them
-    once the link is healed, as retransmission does. ``HALF_OPEN`` drops the bytes of
+    once the fault is cleared, as retransmission does. ``HALF_OPEN`` drops the bytes of
     both directions, as when the peer has lost the connection's state.
     ``ANSWERS_LOST`` drops only the bytes of replies.
     """
@@ -111,12 +111,12 @@
         return f"{LOOPBACK}:{self._port}"
 
     def fail(self, fault: LinkFault) -> None:
-        """Apply a fault to open and new connections until ``heal`` is called."""
+        """Apply a fault to open and new connections until ``clear_fault`` is called."""
         if fault is LinkFault.RESET:
             self._reset()
         self._set_modes(*_FAULT_MODES[fault])
 
-    def heal(self) -> None:
+    def clear_fault(self) -> None:
         """Forward again; reset the connections if the fault dropped bytes."""
         has_dropped_bytes = _DirectionMode.DROP in (
             self._request_mode,
--- a/tests/at_most_once/test_links.py
+++ b/tests/at_most_once/test_links.py
@@ -88,7 +88,7 @@
                 relay.fail(fault)
             first = await asyncio.gather(*sent)
             for relay in relays.values():
-                relay.heal()
+                relay.clear_fault()
             assert "not_run" not in first
             orders = await repeat_until_answered(deployment, keys)
             assert len(set(orders.values())) == len(keys)
@@ -116,7 +116,7 @@
                 == "unknown"
             )
             await wait_until_expired(pair)
-            relay.heal()
+            relay.clear_fault()
             await repeat_until_answered(deployment, ["order-2"])
             recorded = [record["key"] for record in await effects(deployment)]
             assert not any(STALLED_KEY in key for key in recorded)
@@ -164,7 +164,7 @@
             repeats = [await outcome_of(deployment, key) for key in before]
             assert set(repeats) == {"answered", "unknown"}
             for relay in lost_relays:
-                relay.heal()
+                relay.clear_fault()
             orders |= await repeat_until_answered(deployment, during)
             repeated = await repeat_until_answered(deployment, before)
             assert {key: orders[key] for key in before} == repeated
--- a/tests/lifecycle/test_streams.py
+++ b/tests/lifecycle/test_streams.py
@@ -163,7 +163,7 @@
                     assert events[-1][0] == "done"
                     texts = "".join(d["text"] for k, d in events if k == "chunk")
                     assert texts == text
-                link.heal()
+                link.clear_fault()
 
     run_async(scenario())
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -74,7 +74,7 @@
 async def _check_recovery(world, random):
     """Check that every gateway becomes ready without intervention, and serves."""
     for script in world.scripts.values():
-        script.break_next("", 0)
+        script.inject_fault("", 0)
     try:
         async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             for gateway in world.gateways.values():
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -28,7 +28,7 @@
     ]
 
 
-class Records:
+class RunRecords:
     """The runs of each request, the handles made, and wrong inputs that were sent.
 
     ``piece_of_handle`` maps each handle to the request and the stage that made it."""
@@ -40,7 +40,7 @@
         self.piece_of_handle = {}
 
 
-class Script:
+class EndpointScript:
     """Answers one endpoint's requests; the next ``faults_left`` get ``fault``."""
 
     def __init__(self, records, kind):
@@ -49,7 +49,7 @@
         self.fault = ""
         self.faults_left = 0
 
-    def break_next(self, fault, count):
+    def inject_fault(self, fault, count):
         self.fault, self.faults_left = fault, count
 
     def __call__(self, request):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -70,7 +70,7 @@
     relay = world.relays[name]
     relay.fail(random.choice(list(LinkFault)))
     await asyncio.sleep(2.0 * random_duration_s(random))
-    relay.heal()
+    relay.clear_fault()
 
 
 @fault
@@ -111,7 +111,7 @@
 @fault
 async def endpoint_fails(world, random, name):
     script = world.scripts[random.choice(sorted(world.scripts))]
-    script.break_next(random.choice(ENDPOINT_FAULTS), random.randint(1, 4))
+    script.inject_fault(random.choice(ENDPOINT_FAULTS), random.randint(1, 4))
 
 
 @fault
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -9,7 +9,7 @@
 
 from amaranthtally.standins.relay import RateLimitedLink, Relay
 from tests.gateway.support import SEGMENTS, STREAM, open_gateway_cluster, route
-from tests.soak.endpoints import Records, Script
+from tests.soak.endpoints import EndpointScript, RunRecords
 
 DEFAULT_GATEWAYS = 3
 DATA_CENTRES = ("cluj-a", "iasi-a")
@@ -50,11 +50,11 @@
 
     ``disturbed`` names the gateways on which a process fault is acting."""
 
-    def __init__(self, world, stack, gateways):
-        self.world = world
+    def __init__(self, cluster, stack, gateways):
+        self.cluster = cluster
         self.names = tuple(f"gateway-{number}" for number in range(gateways))
-        self.store = world.store
-        self.records = Records()
+        self.store = cluster.store
+        self.records = RunRecords()
         self.scripts = {}
         self.endpoints = {}
         self.relays = {}
@@ -82,14 +82,14 @@
             relay = Relay(self.store.address, link)
             await self._stack.enter_async_context(relay.serve())
             self.relays[name] = relay
-            self._addresses[name] = [self.world.reserve_address() for _ in range(3)]
+            self._addresses[name] = [self.cluster.reserve_address() for _ in range(3)]
         await asyncio.gather(*(self.start_gateway(name) for name in self.names))
         for gateway in self.gateways.values():
             await gateway.wait_until_ready()
 
     async def _start_endpoint(self, name, pool, kind, place):
-        script = self.scripts[name] = Script(self.records, kind)
-        endpoint = await self.world.endpoint(name, pool, script, place=place)
+        script = self.scripts[name] = EndpointScript(self.records, kind)
+        endpoint = await self.cluster.endpoint(name, pool, script, place=place)
         self.endpoints[name] = (endpoint, pool, place)
 
     def register(self, name, **record):
@@ -100,7 +100,7 @@
         """Write a new version; return its number."""
         self._version += 1
         routes = (*ROUTES, *self._more_routes)
-        self.world.configure(self._version, *routes, services=SERVICES)
+        self.cluster.configure(self._version, *routes, services=SERVICES)
         return self._version
 
     def write_larger_version(self, random):
@@ -116,7 +116,7 @@
 
     async def start_gateway(self, name):
         caller, ready, peer = self._addresses[name]
-        self.gateways[name] = await self.world.start_gateway(
+        self.gateways[name] = await self.cluster.start_gateway(
             name,
             DATA_CENTRES[self.names.index(name) % len(DATA_CENTRES)],
             self.relays[name].address,
@@ -149,7 +149,7 @@
 @asynccontextmanager
 async def open_soak(folder, gateways=DEFAULT_GATEWAYS):
     """Yield a soak world with every gateway ready; stop everything on exit."""
-    async with open_gateway_cluster(folder) as world, AsyncExitStack() as stack:
-        soak = SoakWorld(world, stack, gateways)
+    async with open_gateway_cluster(folder) as cluster, AsyncExitStack() as stack:
+        soak = SoakWorld(cluster, stack, gateways)
         await soak.start()
         yield soak
