--- a/packages/standins/src/amaranthtally/standins/chaos/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__main__.py
@@ -17,7 +17,7 @@
 from amaranthtally.standins.chaos.balancer import Balancer
 from amaranthtally.standins.chaos.callers import Callers
 from amaranthtally.standins.chaos.faults import fault_names, inject
-from amaranthtally.standins.chaos.verdict import (
+from amaranthtally.standins.chaos.record_checks import (
     EFFECT_POOL,
     ENGINE_POOL,
     check_records,
--- a/tests/lifecycle/test_planned_stops.py
+++ b/tests/lifecycle/test_planned_stops.py
@@ -8,7 +8,7 @@
 
 from amaranthtally.standins.chaos.balancer import Balancer
 from amaranthtally.standins.chaos.callers import Callers
-from amaranthtally.standins.chaos.verdict import check_records
+from amaranthtally.standins.chaos.record_checks import check_records
 from amaranthtally.standins.chaos.world import World
 from amaranthtally.standins.deployment import open_deployment
 from tests.at_most_once.support import effects_deployment
