--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -38,7 +38,7 @@
     return function
 
 
-def _duration(world: World) -> float:
+def _random_duration_s(world: World) -> float:
     return world.random.uniform(SHORT_S, LONG_S)
 
 
@@ -46,7 +46,7 @@
     world: World, process: Process, knobs: dict[str, Any], normal_knobs: dict[str, Any]
 ) -> None:
     await world.deployment.set_knobs(process, **knobs)
-    await asyncio.sleep(_duration(world))
+    await asyncio.sleep(_random_duration_s(world))
     await world.deployment.set_knobs(process, **normal_knobs)
 
 
@@ -65,7 +65,7 @@
 @_fault
 async def _freeze_sidecar(world: World) -> None:
     async with world.claim(world.endpoints(*ALL_KINDS)) as name:
-        await world.freeze(world.pair(name).sidecar, _duration(world))
+        await world.freeze(world.pair(name).sidecar, _random_duration_s(world))
 
 
 @_fault
@@ -81,7 +81,7 @@
     async with world.claim(world.linked_endpoints()) as name:
         relay = world.relays[name]
         relay.fail(fault)
-        await asyncio.sleep(_duration(world))
+        await asyncio.sleep(_random_duration_s(world))
         relay.clear_fault()
 
 
@@ -111,7 +111,7 @@
 @_fault
 async def _freeze_endpoint(world: World) -> None:
     async with world.claim(world.endpoints(*ALL_KINDS)) as name:
-        await world.freeze(world.pair(name).service, _duration(world))
+        await world.freeze(world.pair(name).service, _random_duration_s(world))
 
 
 @_fault
@@ -188,7 +188,7 @@
     async with world.claim(world.entries()) as name:
         number = world.entries().index(name)
         disruption = _start_disruption(world, number)
-        await world.freeze(world.deployment.entries[number], _duration(world))
+        await world.freeze(world.deployment.entries[number], _random_duration_s(world))
         disruption.end = asyncio.get_running_loop().time()
 
 
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -31,7 +31,8 @@
 class RunRecords:
     """The runs of each request, the handles made, and wrong inputs that were sent.
 
-    ``piece_of_handle`` maps each handle to the request and the stage that made it."""
+    ``piece_of_handle`` maps each handle to the request and the stage that made it.
+    """
 
     def __init__(self):
         self.runs = Counter()
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -48,7 +48,8 @@
 class SoakWorld:
     """The processes and endpoints of a soak run, and the violations found.
 
-    ``disturbed`` names the gateways on which a process fault is acting."""
+    ``disturbed`` names the gateways on which a process fault is acting.
+    """
 
     def __init__(self, cluster, stack, gateways):
         self.cluster = cluster
@@ -106,7 +107,8 @@
     def write_larger_version(self, random):
         """Write a version with ``MORE_ROUTES`` more routes; return its number.
 
-        The configuration grows at most ``MAX_GROWTHS`` times."""
+        The configuration grows at most ``MAX_GROWTHS`` times.
+        """
         if len(self._more_routes) < MAX_GROWTHS * MORE_ROUTES:
             names = [
                 f"{random.getrandbits(ROUTE_NAME_BITS):x}" for _ in range(MORE_ROUTES)
