--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -55,7 +55,7 @@
 
 @_fault
 async def _kill_sidecar(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         pair = world.pair(name)
         await pair.sidecar.kill()
         await asyncio.sleep(SHORT_S)
@@ -64,13 +64,13 @@
 
 @_fault
 async def _freeze_sidecar(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         await world.freeze(world.pair(name).sidecar, _random_duration_s(world))
 
 
 @_fault
 async def _stop_sidecar(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         await world.stop_sidecar(world.pair(name))
 
 
@@ -78,7 +78,7 @@
 
 
 async def _fail_link(world: World, fault: LinkFault) -> None:
-    async with world.claim(world.linked_endpoints()) as name:
+    async with world.reserve_target(world.linked_endpoints()) as name:
         relay = world.relays[name]
         relay.fail(fault)
         await asyncio.sleep(_random_duration_s(world))
@@ -110,13 +110,13 @@
 
 @_fault
 async def _freeze_endpoint(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         await world.freeze(world.pair(name).service, _random_duration_s(world))
 
 
 @_fault
 async def _cut_streams(world: World) -> None:
-    async with world.claim(world.endpoints("engine")) as name:
+    async with world.reserve_target(world.endpoints("engine")) as name:
         cut = {"cut_after_tokens": world.random.randint(1, 4)}
         normal_knobs = {"cut_after_tokens": 0}
         await _with_knobs(world, world.pair(name).service, cut, normal_knobs)
@@ -124,21 +124,21 @@
 
 @_fault
 async def _fail_calls(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         service = world.pair(name).service
         await _with_knobs(world, service, {"fail_rate": 0.5}, {"fail_rate": 0.0})
 
 
 @_fault
 async def _slow_endpoint(world: World) -> None:
-    async with world.claim(world.endpoints(*ALL_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
         service = world.pair(name).service
         await _with_knobs(world, service, {"slow": 0.5}, {"slow": 0.0})
 
 
 @_fault
 async def _stuck_after_effect(world: World) -> None:
-    async with world.claim(world.endpoints("plain")) as name:
+    async with world.reserve_target(world.endpoints("plain")) as name:
         service = world.pair(name).service
         await _with_knobs(world, service, {"stuck_after": True}, {"stuck_after": False})
 
@@ -148,14 +148,14 @@
 
 @_fault
 async def _platform_outage(world: World) -> None:
-    async with world.claim(["platform"]):
+    async with world.reserve_target(["platform"]):
         platform = world.deployment.platform
         await _with_knobs(world, platform, {"outage": True}, {"outage": False})
 
 
 @_fault
 async def _platform_slow(world: World) -> None:
-    async with world.claim(["platform"]):
+    async with world.reserve_target(["platform"]):
         await _with_knobs(
             world, world.deployment.platform, {"slow": 0.7}, {"slow": 0.0}
         )
@@ -163,7 +163,7 @@
 
 @_fault
 async def _platform_loses_answers(world: World) -> None:
-    async with world.claim(["platform"]):
+    async with world.reserve_target(["platform"]):
         lost = {"lose_answers": world.random.randint(1, 5)}
         platform = world.deployment.platform
         await _with_knobs(world, platform, lost, {"lose_answers": 0})
@@ -174,7 +174,7 @@
 
 @_fault
 async def _kill_entry(world: World) -> None:
-    async with world.claim(world.entries()) as name:
+    async with world.reserve_target(world.entries()) as name:
         number = world.entries().index(name)
         disruption = _start_disruption(world, number)
         await world.deployment.entries[number].kill()
@@ -185,7 +185,7 @@
 
 @_fault
 async def _freeze_entry(world: World) -> None:
-    async with world.claim(world.entries()) as name:
+    async with world.reserve_target(world.entries()) as name:
         number = world.entries().index(name)
         disruption = _start_disruption(world, number)
         await world.freeze(world.deployment.entries[number], _random_duration_s(world))
@@ -194,7 +194,7 @@
 
 @_fault
 async def _stop_entry(world: World) -> None:
-    async with world.claim(world.entries()) as name:
+    async with world.reserve_target(world.entries()) as name:
         number = world.entries().index(name)
         await world.stop_entry(number)
         await world.balancer.wait_ready(number)
@@ -223,7 +223,7 @@
 
 @_fault
 async def _drain_host(world: World) -> None:
-    async with world.claim(world.endpoints(*REPEATABLE_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*REPEATABLE_KINDS)) as name:
         host = world.pair(name).host
         for drained in (True, False):
             while not await _commit_anywhere(world, {f"drain.{host}": drained}):
@@ -262,7 +262,7 @@
 
 @_fault
 async def _kill_endpoint(world: World) -> None:
-    async with world.claim(world.endpoints(*REPEATABLE_KINDS)) as name:
+    async with world.reserve_target(world.endpoints(*REPEATABLE_KINDS)) as name:
         pair = world.pair(name)
         port = pair.service.ports["port"]
         pool = next(p for p in world.deployment.plan.pools if p.name == pair.pool)
--- a/packages/standins/src/amaranthtally/standins/chaos/world.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/world.py
@@ -61,7 +61,7 @@
     # Targets of faults
 
     @asynccontextmanager
-    async def claim(self, names: list[str]) -> AsyncIterator[str]:
+    async def reserve_target(self, names: list[str]) -> AsyncIterator[str]:
         """
         Reserve a random target for one fault and yield its name.
 
