--- a/tests/policy/test_run_queue.py
+++ b/tests/policy/test_run_queue.py
@@ -18,8 +18,9 @@
 
 def test_call_that_cannot_finish_in_time_is_dropped():
     """
-    Guards against late answers under load: the queue started calls whose remaining
-    time was too short, which occupied slots and delayed all calls behind them.
+    Guards against late answers under load: the queue started calls without checking
+    their remaining time. Calls that could not finish before their deadline occupied
+    slots, and the calls behind them became late too.
     """
     queue = busy_queue(run_s=1.0)
     late, fine = QueuedCall(0, 2.0, 1), QueuedCall(0, 9.0, 2)
@@ -33,8 +34,8 @@
 
 def test_late_call_is_dropped_behind_a_higher_priority():
     """
-    Guards against refusals long after the deadline: only the call at the head of the
-    queue was checked, and calls of low priority are seldom there.
+    Guards against refusals long after the deadline: the queue checked only the call at
+    its head, and a call of low priority stays behind more urgent ones.
     """
     queue = busy_queue()
     urgent, late = QueuedCall(0, 9.0, 1), QueuedCall(5, 2.0, 2)
@@ -45,8 +46,8 @@
 
 def test_next_drop_time_is_that_of_the_earliest_deadline():
     """
-    Guards against a call that waits behind hanging ones until its deadline: no event
-    checked the queue, and no time was left to run the call elsewhere.
+    Guards against a call that waits behind hanging calls until its deadline: nothing
+    checked the queue earlier, and no time was left to run the call elsewhere.
     """
     queue = busy_queue(run_s=1.0)
     first, later = QueuedCall(5, 4.0, 1), QueuedCall(0, 9.0, 2)
@@ -63,7 +64,11 @@
 
 
 def test_a_call_without_time_left_is_not_queued():
-    """A call that would be dropped later can be refused immediately."""
+    """
+    Guards against a late refusal: a retry arrived with 0.1 s left for a call that runs
+    for 1 s. If the sidecar queues it, the entry has to wait for a refusal that the
+    sidecar could give immediately.
+    """
     assert not busy_queue(run_s=1.0).offer(0.0, QueuedCall(0, 0.1, 1))
 
 
@@ -86,7 +91,8 @@
 def test_concurrency_limit_follows_failures():
     """
     Guards against a constant limit: an engine out of memory failed each full batch and
-    immediately got the next. Failures of one batch reduce the limit once.
+    immediately got the next. Failures of one batch reduce the limit only once, and
+    calls that succeed raise it again.
     """
     queue = RunQueue(8, 100)
     for serial in range(8):
@@ -104,8 +110,8 @@
 
 def test_aborted_call_does_not_change_the_run_time():
     """
-    Guards against cancelled calls that count as finished ones: their short times made
-    the endpoint look fast, and calls were kept that could not finish in time.
+    Guards against counting cancelled calls as finished: their short run times made the
+    endpoint look fast, and calls that could not finish in time stayed in the queue.
     """
     queue = busy_queue(run_s=1.0)
     queue.aborted()
