--- a/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
@@ -90,8 +90,8 @@
             return self._refuse(request, checked)
         caller, route, account, table = checked
         # Without a time limit, a body that never arrives completely would keep its
-        # request open and prevent the process from stopping. The caller has given up
-        # after this time.
+        # request open and prevent the process from stopping. The caller waits no longer
+        # than this for its response.
         limit_s = min(caller.deadline_s or route.timeout_s, route.timeout_s)
         try:
             async with asyncio.timeout(limit_s):
@@ -229,10 +229,10 @@
             request.transport.close()
         return response
 
-    def _relay_response(self, answer: CompleteResponse) -> web.Response:
-        response = web.Response(status=answer.head.status, body=answer.body)
+    def _relay_response(self, relayed: CompleteResponse) -> web.Response:
+        response = web.Response(status=relayed.head.status, body=relayed.body)
         response.headers.popall(hdrs.CONTENT_TYPE, None)
-        response.headers.extend(answer.head.headers)
+        response.headers.extend(relayed.head.headers)
         return self._close_if_stopping(response)
 
     def _refuse(self, request: web.BaseRequest, refusal: Refusal) -> web.Response:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
@@ -18,8 +18,8 @@
 # How long to wait for the store to start sending a change that a peer has reported, in
 # seconds. Longer than the pause in which the watcher batches changes.
 STORE_START_WAIT_S = 0.4
-# How much longer to wait for a store that is sending, in seconds. A fetch from a peer
-# that starts after it still brings the configuration into force within 4 s.
+# How much longer to wait for a store that is sending, in seconds. If a fetch from a peer
+# starts after this wait, the configuration is still in force within 4 s.
 STORE_FINISH_WAIT_S = 2.5
 # Interval between checks of whether the store is still sending, in seconds.
 POLL_INTERVAL_S = 0.05
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -76,8 +76,8 @@
     ) as session:
         # By default aiohttp resends a request with an idempotent method if a kept-alive
         # connection closes before the response. The endpoint may have run the request,
-        # and its method does not tell whether it may run twice. Only the policy decides
-        # on retries.
+        # and the HTTP method does not show whether the request may run twice. Only the
+        # policy decides on retries.
         session._retry_connection = False  # noqa: SLF001
         yield session
 
@@ -157,42 +157,42 @@
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(sock_connect=CONNECT_TIMEOUT_S),
         ) as response:
-            answer = read_response_head(response.status, response.headers)
-            rejected = self._rejection(call, send, endpoint, answer, started)
+            response_head = read_response_head(response.status, response.headers)
+            rejected = self._rejection(call, send, endpoint, response_head, started)
             if rejected is not None:
                 if rejected.outcome is not AttemptOutcome.NOT_RUN:
                     response.close()
                 return rejected
-            if call.route.kind is CallKind.STREAMING and answer.status == HTTP_OK:
-                return await self._relay_stream(call, send, answer, response, started)
-            return await self._read_response(call, send, answer, response, started)
+            if call.route.kind is CallKind.STREAMING and response_head.status == HTTP_OK:
+                return await self._relay_stream(call, send, response_head, response, started)
+            return await self._read_response(call, send, response_head, response, started)
 
     def _rejection(
         self,
         call: LiveCall,
         send: Send,
         endpoint: Endpoint,
-        answer: ResponseHead,
+        response_head: ResponseHead,
         started: float,
     ) -> AttemptResult | None:
         """Return the result if the response cannot be used, or else ``None``."""
         # An endpoint that answers twice or too late leaves a response on a kept-alive
-        # connection, where it would be read as the response to the next request. The
-        # request id reveals that.
-        if answer.request_id and answer.request_id != call.id:
-            self._log(send, endpoint, "mismatched", answer.request_id, started)
+        # connection, where it would be read as the response to the next request. Such a
+        # response has the id of another request.
+        if response_head.request_id and response_head.request_id != call.id:
+            self._log(send, endpoint, "mismatched", response_head.request_id, started)
             return _unknown_outcome(call)
-        if answer.load is not None:
-            self._listener.load_reported(endpoint.id, answer.load, awaited=True)
-        if answer.not_run:
-            self._log(send, endpoint, "not_run", str(answer.status), started)
+        if response_head.load is not None:
+            self._listener.load_reported(endpoint.id, response_head.load, awaited=True)
+        if response_head.not_run:
+            self._log(send, endpoint, "not_run", str(response_head.status), started)
             return AttemptResult(
                 AttemptOutcome.NOT_RUN,
-                retry_after_s=answer.retry_after_s,
-                inputs_missing=answer.status == HTTP_CONFLICT,
+                retry_after_s=response_head.retry_after_s,
+                inputs_missing=response_head.status == HTTP_CONFLICT,
             )
-        if not answer.signature:
-            self._log(send, endpoint, "unsigned", str(answer.status), started)
+        if not response_head.signature:
+            self._log(send, endpoint, "unsigned", str(response_head.status), started)
             return _unknown_outcome(call)
         return None
 
@@ -200,7 +200,7 @@
         self,
         call: LiveCall,
         send: Send,
-        answer: ResponseHead,
+        response_head: ResponseHead,
         response: aiohttp.ClientResponse,
         started: float,
     ) -> AttemptResult:
@@ -208,10 +208,10 @@
             body = await response.read()
         detector.check()
         duration_s = self._loop.time() - started
-        if answer.status >= FIRST_SERVER_ERROR:
-            call.failed_response = CompleteResponse(answer, body)
+        if response_head.status >= FIRST_SERVER_ERROR:
+            call.failed_response = CompleteResponse(response_head, body)
             return AttemptResult(AttemptOutcome.FAILED, run_s=duration_s)
-        call.finish(CompleteResponse(answer, body))
+        call.finish(CompleteResponse(response_head, body))
         return AttemptResult(
             AttemptOutcome.FINISHED, run_s=duration_s, output_bytes=len(body)
         )
@@ -220,7 +220,7 @@
         self,
         call: LiveCall,
         send: Send,
-        answer: ResponseHead,
+        response_head: ResponseHead,
         response: aiohttp.ClientResponse,
         started: float,
     ) -> AttemptResult:
@@ -234,7 +234,7 @@
                     continue
                 if not call.stream_started:
                     call.stream_started = True
-                    await call.events.put(StreamStarted(answer))
+                    await call.events.put(StreamStarted(response_head))
                 call.event_count += events.event_count
                 call.last_event = events.last_id or call.last_event
                 await call.events.put(StreamEvents(events.body))
@@ -244,7 +244,7 @@
             raise aiohttp.ClientPayloadError("stream ended in the middle of an event")
         if not call.stream_started:
             call.stream_started = True
-            await call.events.put(StreamStarted(answer))
+            await call.events.put(StreamStarted(response_head))
         return AttemptResult(
             AttemptOutcome.FINISHED,
             run_s=self._loop.time() - started,
@@ -300,7 +300,7 @@
 
 
 def _unknown_outcome(call: LiveCall) -> AttemptResult:
-    """Return the result of an attempt of which it is unknown whether it ran."""
+    """Return the result of an attempt that may have run or not."""
     may_repeat = call.route.is_repeatable
     return AttemptResult(
         AttemptOutcome.FAILED if may_repeat else AttemptOutcome.UNKNOWN
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_record_tracker.py
@@ -83,7 +83,7 @@
         self._directory.connection_lost()
 
     def store_reachable(self) -> None:
-        """Give endpoints whose records expired meanwhile time to register again."""
+        """Give endpoints whose records expired in the outage time to register again."""
         self._directory.connection_restored(self._time())
 
     def expire(self) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -1,4 +1,4 @@
-"""Executes the policy's decisions on callers' requests, without sidecars."""
+"""Executes the policy's actions by calling endpoints directly, without sidecars."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Mapping, Sequence
@@ -54,7 +54,7 @@
 
 
 class GatewayExecutor:
-    """Runs one gateway's requests; the planner makes all decisions."""
+    """Passes events to the planner and executes the actions that it returns."""
 
     def __init__(
         self,
@@ -91,12 +91,12 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have not ended."""
+        """Number of requests that have not ended."""
         return len(self._calls)
 
     @property
     def pieces_waiting(self) -> int:
-        """Number of requested pieces not sent yet, including those of peers."""
+        """Number of pieces that are queued here, for any gateway's requests."""
         return self._planner.pieces_waiting
 
     @property
@@ -105,13 +105,13 @@
         return self._decisions.spawn
 
     def set_peer_connections(self, connections: PeerConnections) -> None:
-        """Use these connections to peers."""
+        """Set the connections to peers, which are created after this executor."""
         self._connections = connections
 
     # Events
 
     def submit(self, call: LiveCall) -> None:
-        """Submit a request to the policy; its result is set on the call."""
+        """Submit a request to the policy; ``call`` receives the response's events."""
         self._calls[call.id] = call
         self._decisions.wake()
         self._decisions.carry_out(
@@ -134,13 +134,13 @@
 
     @property
     def peers_to_probe(self) -> frozenset[str]:
-        """The gateways to probe: those making pieces for this one and failed ones."""
+        """The gateways to probe: those that run jobs of this one, and failed ones."""
         return self._planner.awaited_peers | self._planner.unavailable_peers(
             self._time()
         )
 
-    def stop_making_pieces(self) -> None:
-        """Stop making pieces for other gateways."""
+    def stop_running_jobs(self) -> None:
+        """Stop running jobs of other gateways, because this one is leaving."""
         self._decisions.carry_out(self._planner.entry_leaving(self._time()))
 
     def refuse_unsent(self) -> None:
@@ -156,17 +156,17 @@
             )
 
     def settings_changed(self, settings: PolicySettings) -> None:
-        """Use newer settings from now on."""
+        """Apply newer settings."""
         self._endpoints = settings.endpoints
         actions = self._planner.settings_changed(self._time(), settings)
         self._decisions.carry_out(actions)
 
     async def tick(self) -> None:
-        """Call the policy's timer regularly until cancelled."""
+        """Call the planner's ``tick`` periodically until cancelled."""
         await self._decisions.tick(self._is_busy)
 
     def _is_busy(self) -> bool:
-        # Pieces of other gateways' requests need the timer too.
+        # Queued and running jobs of other gateways need frequent ticks too.
         return bool(self._calls) or self._planner.has_pieces
 
     # Results of calls
@@ -213,14 +213,14 @@
         self._decisions.carry_out(actions)
 
     def pieces_ended(self, call: int, result: PiecesEnded) -> None:
-        """Pass the result of a call that ran pieces to the policy."""
+        """Pass the end of a call with pieces to the policy."""
         actions = self._planner.pieces_ended(self._time(), call, result)
         self._decisions.carry_out(actions)
 
     # Events from peers
 
     def peers_changed(self, peers: Sequence[Peer]) -> None:
-        """Pass the live gateways to the policy."""
+        """Pass the set of other live gateways to the policy."""
         self._decisions.carry_out(self._planner.peers_changed(self._time(), peers))
 
     def peer_failed(self, peer: str) -> None:
@@ -228,45 +228,45 @@
         self._decisions.carry_out(self._planner.peer_failed(self._time(), peer))
 
     def peer_recovered(self, peer: str) -> None:
-        """Report to the policy that a failed gateway makes pieces again."""
+        """Report to the policy that a failed gateway answers and runs jobs again."""
         if peer not in self._planner.unavailable_peers(self._time()):
             return
         log.info("peer_back", peer=peer)
         self._decisions.carry_out(self._planner.peer_recovered(self._time(), peer))
 
     def jobs_submitted(self, submitter: str, jobs: Sequence[PieceJob]) -> None:
-        """Pass a gateway's request for pieces to the policy."""
+        """Pass the jobs that another gateway submits to the policy."""
         self._decisions.wake()
         actions = self._planner.jobs_submitted(self._time(), submitter, jobs)
         self._decisions.carry_out(actions)
 
     def reports_received(self, reports: Sequence[PieceReport]) -> None:
-        """Pass the outcomes of pieces at another gateway to the policy."""
+        """Pass another gateway's reports on submitted jobs to the policy."""
         self._decisions.carry_out(self._planner.reports_received(self._time(), reports))
 
     def results_not_released(self, results: Sequence[StoredResult]) -> None:
-        """Free results at their endpoints if their release did not reach a peer."""
+        """Free results at their endpoints, as their release did not reach a peer."""
         self._decisions.carry_out(self._planner.results_freed(self._time(), results))
 
     def results_freed(self, results: Sequence[StoredResult], ended: str) -> None:
-        """Pass a gateway's released results and ended request to the policy."""
+        """Pass another gateway's release of results to the policy."""
         self._decisions.carry_out(
             self._planner.results_freed(self._time(), results, ended)
         )
 
     # Actions
 
-    def _submit_to_peer(self, order: SubmitToPeer) -> None:
+    def _submit_to_peer(self, action: SubmitToPeer) -> None:
         assert self._connections is not None
-        self._connections.submit_jobs(order.peer, order.jobs)
+        self._connections.submit_jobs(action.peer, action.jobs)
 
-    def _report_to_peer(self, order: ReportToPeer) -> None:
+    def _report_to_peer(self, action: ReportToPeer) -> None:
         assert self._connections is not None
-        self._connections.report_outcomes(order.peer, order.reports)
+        self._connections.report_outcomes(action.peer, action.reports)
 
-    def _release_at_peer(self, order: FreeAtPeer) -> None:
+    def _release_at_peer(self, action: FreeAtPeer) -> None:
         assert self._connections is not None
-        self._connections.release_results(order.peer, order.results, order.ended)
+        self._connections.release_results(action.peer, action.results, action.ended)
 
     def _send(self, send: Send) -> None:
         call = self._calls[send.attempt.request_id]
@@ -292,12 +292,12 @@
             task.cancel()
 
     def _query_attempt(self, query: QueryAttempt) -> None:
-        # Endpoints on this platform cannot be asked for the outcome of a call. A lost
-        # call ends as unknown before the policy would inquire about it.
+        # Endpoints on this platform cannot be queried for the outcome of a call. Lost
+        # calls are reported as failed or unknown, and the policy queries neither.
         self.attempt_ended(query.attempt, AttemptResult(AttemptOutcome.UNKNOWN))
 
     def _poll_load(self, poll: PollLoad) -> None:
-        """Do nothing: each probe costs money, and responses report the load anyway."""
+        """Do nothing: each poll costs money, and responses report the load anyway."""
 
     def _complete(self, answer: AnswerAction) -> None:
         call = self._calls.pop(answer.request_id)
@@ -310,14 +310,14 @@
         self._stop_attempts(call)
         call.finish(RequestFailed(refusal))
 
-    def _run_pieces(self, order: RunPieces) -> None:
-        endpoint = self._endpoints.get(order.endpoint)
-        self._decisions.spawn(self._piece_calls.run(order, endpoint))
+    def _run_pieces(self, action: RunPieces) -> None:
+        endpoint = self._endpoints.get(action.endpoint)
+        self._decisions.spawn(self._piece_calls.run(action, endpoint))
 
-    def _free_results(self, order: FreeResults) -> None:
-        endpoint = self._endpoints.get(order.endpoint)
+    def _free_results(self, action: FreeResults) -> None:
+        endpoint = self._endpoints.get(action.endpoint)
         if endpoint is not None:
-            self._decisions.spawn(self._piece_calls.free(order, endpoint))
+            self._decisions.spawn(self._piece_calls.free(action, endpoint))
 
     def _stop_attempts(self, call: LiveCall) -> None:
         current = asyncio.current_task()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -48,7 +48,7 @@
             await asyncio.sleep(pause_s * (1.0 + RETRY_JITTER * self._random.random()))
 
     async def deregister(self) -> None:
-        """Remove the record, so that peers request no more pieces here."""
+        """Remove the record, so that peers submit no more jobs to this gateway."""
         self._is_deregistered = True
         if self._lease:
             await self._client.end_lease(self._lease)
@@ -109,7 +109,7 @@
         self._directory.replace(self._time(), peers)
         for name in self._directory.unconfirmed:
             if name not in unconfirmed_before:
-                log.info("peer_doubted", peer=name, cause="no record among all")
+                log.info("peer_doubted", peer=name, cause="no record in the listing")
         self._on_change()
 
     def apply_change(self, item: StoreItem) -> None:
@@ -126,7 +126,7 @@
         self._on_change()
 
     def advance_to(self, revision: int) -> None:
-        """Do nothing: records of gateways come from the store only."""
+        """Do nothing: gateways' records are not fetched from peers."""
 
     def store_unreachable(self) -> None:
         """Keep the known peers."""
--- a/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
@@ -99,7 +99,7 @@
         self._seconds.observe({"route": route}, seconds)
 
     def request_rejected(self, status: int) -> None:
-        """Count a rejected request; without its path, which a caller may invent."""
+        """Count a rejected request, without its path: callers can send any path."""
         self._request_tally[_RequestLabels("", str(status), "rejected")] += 1
 
     def attempt_ended(self, pool: str, outcome: str) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
@@ -21,28 +21,28 @@
 # so a peer that does not answer in time has failed or is stalled.
 CALL_TIMEOUT_S = 0.8
 
-# Interval between probes of a peer that makes pieces for this gateway or has failed to,
-# in seconds. A call costs the peer 0.2 ms.
+# Interval between probes of a peer that runs jobs of this gateway or has failed, in
+# seconds. A call costs the peer 0.2 ms.
 HEARTBEAT_INTERVAL_S = 0.5
-# Attempts to report the outcomes of its pieces to a peer, and the pause between them,
-# in seconds. The first may fail because the connection was reset.
+# Number of attempts to report the outcomes of jobs to their submitter, and the pause
+# between them, in seconds. The first may fail because the connection was reset.
 REPORT_ATTEMPTS = 3
 REPORT_RETRY_DELAY_S = 0.2
 
-# The record of a gateway that makes no pieces because it is starting or stopping.
+# The record of a gateway that runs no jobs because it is starting or leaving.
 INACTIVE_RECORD = PeerRecord("", "")
 
 log = get_logger()
 
 
 class _Listener(Protocol):
-    """Is notified of failed and recovered peers."""
+    """Is notified of failed and recovered peers, and of results not released."""
 
     def peer_failed(self, peer: str) -> None:
         """Handle a peer that did not answer."""
 
     def peer_recovered(self, peer: str) -> None:
-        """Handle a peer that answers and makes pieces again."""
+        """Handle a peer that answers and runs jobs again."""
 
     def results_not_released(self, results: Sequence[StoredResult]) -> None:
         """Handle unused results whose release could not be sent to a peer."""
@@ -78,17 +78,21 @@
                 self._disconnect(name)
 
     def submit_jobs(self, peer: str, jobs: Sequence[PieceJob]) -> None:
-        """Send a request for pieces to a peer, in the background."""
+        """Submit jobs to a peer, in the background."""
         self._spawn(self._submit_jobs(peer, jobs))
 
     def report_outcomes(self, peer: str, reports: Sequence[PieceReport]) -> None:
-        """Report the outcomes of pieces to a peer; it requests lost ones again."""
+        """Report outcomes to a peer, in the background; it resubmits overdue jobs."""
         self._spawn(self._report_outcomes(peer, reports))
 
     def release_results(
         self, peer: str, results: Sequence[StoredResult], ended: str
     ) -> None:
-        """Tell a peer that results are no longer needed or that a request ended."""
+        """
+        Release results at the peer that calls their endpoints, in the background.
+
+        ``ended`` is the id of a request that has ended, empty if none has.
+        """
         self._spawn(self._release_results(peer, results, ended))
 
     async def exchange_status(self, peer: str, versions: Versions) -> GatewayStatus:
@@ -117,20 +121,20 @@
             self._listener.peer_failed(peer)
 
     async def run_heartbeat(self, peers_to_probe: Callable[[], frozenset[str]]) -> None:
-        """Probe peers regularly to detect failed and recovered ones."""
+        """Probe peers until cancelled, to detect failed and recovered ones."""
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             await asyncio.gather(*(self._probe(peer) for peer in peers_to_probe()))
 
     async def _probe(self, peer: str) -> None:
         try:
-            answer = await self.exchange_status(peer, Versions())
+            status = await self.exchange_status(peer, Versions())
         except PeerLostError as error:
             log.info("peer_lost", peer=peer, cause=str(error))
             self._listener.peer_failed(peer)
             return
-        # A restarted peer without a configuration would reject every requested piece.
-        if answer.versions.configuration and not answer.leaving:
+        # A restarted peer without a configuration would hand back every job.
+        if status.versions.configuration and not status.leaving:
             self._listener.peer_recovered(peer)
 
     async def _report_outcomes(self, peer: str, reports: Sequence[PieceReport]) -> None:
@@ -153,8 +157,8 @@
             )
         except PeerLostError as error:
             log.info("peer_not_told", peer=peer, results=len(results), cause=str(error))
-            # Kept until they expire, these results would fill the memory of their
-            # endpoints, which would reject further calls for seconds.
+            # If these results were stored until they expire, they would fill the memory
+            # of their endpoints, which would reject further calls for seconds.
             self._listener.results_not_released(results)
 
     async def _call(
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -25,7 +25,7 @@
 
 
 class PeerHandler:
-    """Answers peers' calls and applies the newer documents fetched from them."""
+    """Handles peers' calls and applies newer documents fetched from peers."""
 
     def __init__(
         self,
@@ -46,13 +46,13 @@
 
     @property
     def versions(self) -> Versions:
-        """The versions of this gateway's configuration and records."""
+        """The versions of this gateway's configuration and endpoint records."""
         return Versions(self._configuration.version, self._records.revision)
 
     def exchange_status(
         self, name: str, record: PeerRecord, versions: Versions
     ) -> GatewayStatus:
-        """Return this gateway's versions; fetch the peer's configuration if newer."""
+        """Return this gateway's status; fetch the peer's configuration if newer."""
         self._on_peer_record(name, record)
         self.note_peer_versions(name, versions)
         if versions.configuration > self._configuration.version:
@@ -60,7 +60,7 @@
         return GatewayStatus(self.versions, self._is_stopping())
 
     def read_part(self, request: PartRequest) -> DocumentPart:
-        """Return a part of the configuration or the records."""
+        """Return a part of the configuration or of the endpoint records."""
         snapshots = self._snapshots[request.document]
         if not request.offset:
             self._refresh_snapshot(request.document, snapshots)
@@ -88,11 +88,11 @@
             self._apply_records(version, records)
 
     def submit_jobs(self, submitter: str, jobs: Sequence[PieceJob]) -> None:
-        """Handle a peer's request for pieces."""
+        """Accept jobs that a peer submits."""
         self._executor.jobs_submitted(submitter, jobs)
 
     def report_outcomes(self, reports: Sequence[PieceReport]) -> None:
-        """Handle a peer's report on the outcomes of pieces."""
+        """Handle a peer's reports on jobs that this gateway submitted."""
         self._executor.reports_received(reports)
 
     def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_prober.py
@@ -1,4 +1,4 @@
-"""Probes gateways whose records are missing to find out whether they still run."""
+"""Probes unconfirmed peers, whose records are missing, to check if they still run."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 
 __all__ = ["PeerProber"]
 
-# Interval between probes of a gateway whose record is missing, in seconds: a third of
-# the time for which a response keeps the gateway in the directory.
+# Interval between probes of an unconfirmed peer, in seconds: a third of the time for
+# which a response keeps the peer in the directory.
 PROBE_INTERVAL_S = 1.0
 
 log = get_logger()
 
 
 class PeerProber:
-    """Sends a small call each second to every peer whose record is missing."""
+    """Sends a small call to every unconfirmed peer each second."""
 
     def __init__(
         self,
@@ -34,12 +34,12 @@
         self._time = asyncio.get_running_loop().time
 
     def wake(self) -> None:
-        """Probe at once if the directory has peers with missing records."""
+        """Probe at once if the directory has unconfirmed peers."""
         if self._directory.unconfirmed:
             self._probe_needed.set()
 
     async def run(self) -> None:
-        """Probe until cancelled."""
+        """Probe unconfirmed peers until cancelled."""
         while True:
             await self._probe_needed.wait()
             self._probe_needed.clear()
@@ -50,13 +50,13 @@
 
     async def _probe(self, peer: str) -> None:
         try:
-            answer = await self._connections.exchange_status(peer, Versions())
+            status = await self._connections.exchange_status(peer, Versions())
         except PeerLostError as error:
-            # The peer may only be stalled. It is probed again until its last response
-            # is too old.
+            # The peer may only be stalled. It stays in the directory and is probed
+            # again until its last response is too old.
             log.info("peer_silent", peer=peer, cause=str(error))
             return
-        if not answer.leaving:
+        if not status.leaving:
             self._directory.note_alive(self._time(), peer)
             return
         if self._directory.note_left(self._time(), peer):
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
@@ -1,4 +1,4 @@
-"""Propagates changes of the set of live peers within a gateway."""
+"""Applies changes of the set of live peers within a gateway."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class PeerUpdater:
-    """Applies the set of live peers to connections, pool owners and retry budgets."""
+    """Updates connections, owners of pool sites and retry budgets for the live peers."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
 
     @property
     def prober(self) -> PeerProber:
-        """The prober of the peers whose records are missing."""
+        """The prober of unconfirmed peers, to be run in the background."""
         return self._prober
 
     def apply_live_peers(self) -> None:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -1,4 +1,4 @@
-"""Sends calls that run pieces to endpoints, and frees the results."""
+"""Sends calls that compute pieces, and calls that free their results."""
 
 import asyncio
 from collections import Counter
@@ -22,8 +22,8 @@
 __all__ = ["PieceCalls"]
 
 CONNECT_TIMEOUT_S = 0.5
-# Time-out for freeing results, in seconds. It is not retried, since the endpoint drops
-# unused results after some seconds anyway.
+# Time-out of a call that frees results, in seconds. A failed call is not retried, since
+# the endpoint removes unused results after some seconds anyway.
 FREE_TIMEOUT_S = 1.0
 HTTP_OK = 200
 MS_PER_S = 1000
@@ -36,7 +36,7 @@
 
 
 def _faults(outcomes: tuple[PieceOutcome, ...]) -> str:
-    """Return the number of pieces that failed by fault; empty if none failed."""
+    """Return the number of failed pieces for each fault; empty if none failed."""
     counts = Counter(piece.fault.value for piece in outcomes if piece.fault is not None)
     return ",".join(f"{fault}:{count}" for fault, count in counts.items())
 
@@ -47,7 +47,7 @@
 
 
 class PieceCalls:
-    """Sends calls that run pieces; reports the outcome of each to ``on_end``."""
+    """Sends calls with pieces to endpoints; passes the end of each to ``on_end``."""
 
     def __init__(
         self, session: aiohttp.ClientSession, on_end: OnEnd, metrics: GatewayMetrics
@@ -57,25 +57,25 @@
         self._on_end = on_end
         self._loop = asyncio.get_running_loop()
 
-    async def run(self, order: RunPieces, endpoint: Endpoint | None) -> None:
+    async def run(self, action: RunPieces, endpoint: Endpoint | None) -> None:
         """Send one call; ``endpoint`` is ``None`` if it is no longer registered."""
-        end = FAILED if endpoint is None else await self._attempt(order, endpoint)
-        self._on_end(order.call, end)
+        end = FAILED if endpoint is None else await self._attempt(action, endpoint)
+        self._on_end(action.call, end)
 
-    async def free(self, order: FreeResults, endpoint: Endpoint) -> None:
-        """Tell an endpoint that results are no longer needed."""
+    async def free(self, action: FreeResults, endpoint: Endpoint) -> None:
+        """Free results at an endpoint; a failure is only logged."""
         log.info(
             "results_freed",
             endpoint=endpoint.id,
             pool=endpoint.pool,
-            results=len(order.handles),
-            held_ms=round(order.held_s * MS_PER_S),
+            results=len(action.handles),
+            held_ms=round(action.held_s * MS_PER_S),
         )
         url = f"http://{endpoint.address}{pieces.FREE_PATH}"
         try:
             async with self._session.post(
                 url,
-                data=pieces.write_free(order.handles),
+                data=pieces.write_free(action.handles),
                 headers={names.EXPECTED_ID: endpoint.id, **JSON},
                 timeout=aiohttp.ClientTimeout(
                     total=FREE_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
@@ -86,71 +86,71 @@
             log.info(
                 "results_not_freed",
                 endpoint=endpoint.id,
-                results=len(order.handles),
+                results=len(action.handles),
                 cause=repr(error),
             )
 
-    async def _attempt(self, order: RunPieces, endpoint: Endpoint) -> PiecesEnded:
+    async def _attempt(self, action: RunPieces, endpoint: Endpoint) -> PiecesEnded:
         started = self._loop.time()
         try:
-            return await self._exchange(order, endpoint, started)
+            return await self._exchange(action, endpoint, started)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            self._log(order, endpoint, "lost", repr(error), started)
+            self._log(action, endpoint, "lost", repr(error), started)
             return FAILED
 
     async def _exchange(
-        self, order: RunPieces, endpoint: Endpoint, started: float
+        self, action: RunPieces, endpoint: Endpoint, started: float
     ) -> PiecesEnded:
         url = f"http://{endpoint.address}{pieces.RUN_PATH}"
         async with self._session.post(
             url,
-            data=pieces.write_pieces(order.pieces, started),
+            data=pieces.write_pieces(action.pieces, started),
             headers={names.EXPECTED_ID: endpoint.id, **JSON},
             timeout=aiohttp.ClientTimeout(
-                total=order.timeout_s, sock_connect=CONNECT_TIMEOUT_S
+                total=action.timeout_s, sock_connect=CONNECT_TIMEOUT_S
             ),
         ) as response:
             body = await response.read()
-        answer = read_response_head(response.status, response.headers)
-        running = answer.load.running if answer.load else None
-        queued = answer.load.queued if answer.load else 0
-        if answer.status != HTTP_OK:
-            outcome = "not_run" if answer.not_run else "failed"
-            self._log(order, endpoint, outcome, str(answer.status), started)
-            return PiecesEnded(refused=answer.not_run, running=running, queued=queued)
-        outcomes = pieces.read_outcomes(body, order.pieces)
+        response_head = read_response_head(response.status, response.headers)
+        running = response_head.load.running if response_head.load else None
+        queued = response_head.load.queued if response_head.load else 0
+        if response_head.status != HTTP_OK:
+            outcome = "not_run" if response_head.not_run else "failed"
+            self._log(action, endpoint, outcome, str(response_head.status), started)
+            return PiecesEnded(refused=response_head.not_run, running=running, queued=queued)
+        outcomes = pieces.read_outcomes(body, action.pieces)
         if outcomes.is_err():
-            self._log(order, endpoint, "unreadable", str(outcomes.err()), started)
+            self._log(action, endpoint, "unreadable", str(outcomes.err()), started)
             return FAILED
-        self._log(order, endpoint, "finished", _faults(outcomes.unwrap()), started)
+        self._log(action, endpoint, "finished", _faults(outcomes.unwrap()), started)
         return PiecesEnded(outcomes.unwrap(), running=running, queued=queued)
 
     def _log(
         self,
-        order: RunPieces,
+        action: RunPieces,
         endpoint: Endpoint,
         outcome: str,
         cause: str,
         started: float,
     ) -> None:
         duration_s = self._loop.time() - started
-        details = order.details
+        details = action.details
         self._metrics.pieces_ended(
-            endpoint.pool, outcome, len(order.pieces), duration_s
+            endpoint.pool, outcome, len(action.pieces), duration_s
         )
         log.info(
             "pieces_ended",
-            call=order.call,
+            call=action.call,
             endpoint=endpoint.id,
             pool=endpoint.pool,
             data_centre=endpoint.data_centre,
-            pieces=len(order.pieces),
+            pieces=len(action.pieces),
             places=details.batch_limit,
             waiting=details.waiting,
             waited_ms=round(details.waited_s * MS_PER_S),
             memory_kb=_kilobytes(details.memory_bytes),
             shortage=details.shortage,
-            requests=",".join(dict.fromkeys(p.request_id for p in order.pieces)),
+            requests=",".join(dict.fromkeys(p.request_id for p in action.pieces)),
             fate=outcome,
             cause=cause,
             ms=round(duration_s * MS_PER_S),
--- a/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
@@ -73,41 +73,41 @@
         """Watch until cancelled."""
         while True:
             if self._revision is None:
-                answer = await self._client.list(self._prefix)
-                self._apply_listing(answer)
+                response = await self._client.list(self._prefix)
+                self._apply_listing(response)
             else:
-                answer = await self._client.watch(
+                response = await self._client.watch(
                     self._prefix, self._revision, WATCH_TIMEOUT_S
                 )
-                self._apply_changes(answer)
-            await asyncio.sleep(self._pause_s(answer))
+                self._apply_changes(response)
+            await asyncio.sleep(self._pause_s(response))
 
-    def _pause_s(self, answer: Result[StoreEvents, PlatformError]) -> float:
-        if isinstance(answer, Err):
+    def _pause_s(self, response: Result[StoreEvents, PlatformError]) -> float:
+        if isinstance(response, Err):
             return RETRY_DELAY_S * (1.0 + RETRY_JITTER * self._random.random())
-        return CHANGE_BATCH_S if answer.ok_value.items else 0.0
+        return CHANGE_BATCH_S if response.ok_value.items else 0.0
 
-    def _apply_listing(self, answer: Result[StoreEvents, PlatformError]) -> None:
-        if isinstance(answer, Err):
-            self._report_unreachable(answer.err_value)
+    def _apply_listing(self, response: Result[StoreEvents, PlatformError]) -> None:
+        if isinstance(response, Err):
+            self._report_unreachable(response.err_value)
             return
         self._report_reachable()
-        listing = answer.ok_value
+        listing = response.ok_value
         self._listener.replace(listing.items)
         self._revision = listing.revision
         self._listener.advance_to(listing.revision)
 
-    def _apply_changes(self, answer: Result[StoreEvents, PlatformError]) -> None:
-        if isinstance(answer, Err):
+    def _apply_changes(self, response: Result[StoreEvents, PlatformError]) -> None:
+        if isinstance(response, Err):
             # Changes may have been made during the outage, and the store may compact
             # its history before it answers again. Listing the prefix again costs one
             # call and misses nothing.
             self._revision = None
-            if not isinstance(answer.err_value, PlatformHistoryCompacted):
-                self._report_unreachable(answer.err_value)
+            if not isinstance(response.err_value, PlatformHistoryCompacted):
+                self._report_unreachable(response.err_value)
             return
         self._report_reachable()
-        events = answer.ok_value
+        events = response.ok_value
         for item in events.items:
             self._listener.apply_change(item)
         assert self._revision is not None
--- a/packages/daemon/src/amaranthtally/daemon/gateway/routing_state.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/routing_state.py
@@ -16,7 +16,8 @@
 # Number of entries assumed to share the retry budget until the peers are known.
 DEFAULT_ENTRY_COUNT = 16
 # Fraction of the shared retry slack that is divided among the entries. The rest covers
-# entries that count a started or stopped entry up to a second late.
+# the time, up to a second, in which some entries have not yet noticed that an entry
+# started or stopped and divide by a different number.
 RETRY_SLACK_FRACTION = 0.8
 # Fraction of the shared retry ratio that an entry uses. When traffic falls, the request
 # rate that it measures for a pool lags by one window and is too high.
@@ -76,8 +77,8 @@
         """
         Divide the retry budget among ``count`` entries, this one included.
 
-        Entries do not add up their retries. Each keeps to its own share, so that the
-        total stays within the bound whatever fails.
+        Entries do not exchange counts of their retries. Each stays within its own
+        share, so that the total stays within the budget, whichever part fails.
         """
         self._entries = max(1, count)
         self._publish()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/service.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/service.py
@@ -271,38 +271,38 @@
 def _metrics_handler(
     metrics: GatewayMetrics, state: Callable[[], GatewayState]
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(request: web.BaseRequest) -> web.StreamResponse:
         metrics.refresh(state())
         return metrics_response(request)
 
-    return answer
+    return handle
 
 
 def _readiness_handler(
     is_complete: Callable[[], bool], stop: StopSignal
 ) -> Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]:
-    async def answer(request: web.BaseRequest) -> web.StreamResponse:
+    async def handle(request: web.BaseRequest) -> web.StreamResponse:
         if request.path != READY_PATH:
             return web.Response(status=404, text="unknown path\n")
         if is_complete() and not stop.is_set():
             return web.Response(text="ready\n")
         return web.Response(status=503, text="not ready: starting or stopping\n")
 
-    return answer
+    return handle
 
 
 async def _drain(gateway: _RunningGateway, grace_s: float) -> None:
     """
     Serve until the balancer sends no more requests, then finish all responses.
 
-    Peers are informed at once that this gateway makes no more pieces for them. The
+    Peers are informed at once that this gateway runs no more of their jobs. The
     listener stays open to the end: if other gateways of the data centre are down, the
     balancer still sends callers here, and an explicit refusal is better for them than a
     failed connection. Kept-alive connections are closed after their next response.
     Requests not sent to any endpoint are refused before the grace period ends.
     """
     gateway.connections.set_own_record(INACTIVE_RECORD)
-    gateway.executor.stop_making_pieces()
+    gateway.executor.stop_running_jobs()
     await asyncio.gather(gateway.store.deregister(), asyncio.sleep(BALANCER_DRAIN_S))
     gateway.caller_handler.close()
     refuse_at = (
--- a/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
@@ -37,18 +37,18 @@
         client: StoreClient,
         configuration: ConfigurationTracker,
         records: EndpointRecordTracker,
-        entries: PeerRecordTracker,
+        peer_records: PeerRecordTracker,
         registration: Registration,
         random: Random,
     ) -> None:
         self._client = client
         self._records = records
-        self._peer_records = entries
+        self._peer_records = peer_records
         self._registration = registration
         listeners: dict[str, PrefixListener] = {
             CONFIGURATION_KEY: configuration,
             SERVERS_PREFIX: records,
-            ENTRIES_PREFIX: entries,
+            ENTRIES_PREFIX: peer_records,
         }
         self._watcher = PrefixWatcher(
             client, ALL_KEYS, PrefixDispatcher(listeners), random
--- a/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
@@ -25,7 +25,7 @@
 
 
 class VersionGossip:
-    """Exchanges versions with a few random peers and fetches what they have newer."""
+    """Exchanges versions with a few random peers and fetches newer documents."""
 
     def __init__(
         self,
@@ -61,13 +61,13 @@
 
     async def _exchange(self, peer: str) -> None:
         try:
-            answer = await self._connections.exchange_status(
+            status = await self._connections.exchange_status(
                 peer, self._holder.versions
             )
         except PeerLostError as error:
             log.info("peer_not_greeted", peer=peer, cause=str(error))
             return
-        self._holder.note_peer_versions(peer, answer.versions)
+        self._holder.note_peer_versions(peer, status.versions)
         # The fetch runs in the background and does not delay the next round: the gossip
         # also shows the peers that this gateway is alive.
-        self._fetch_newer(peer, answer.versions)
+        self._fetch_newer(peer, status.versions)
--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -50,7 +50,7 @@
         self.address = ""
         self.connections = 0
 
-    def record(self, pool, place="cluj-a", state="ready", slots=8, **others):
+    def record(self, pool, place="cluj-a", state="ready", slots=8, **overrides):
         """Return the endpoint's record in the store."""
         record = {
             "service": pool,
@@ -62,7 +62,7 @@
             "coldLeftMs": 0,
             "sequence": 1,
         }
-        return record | others
+        return record | overrides
 
     async def serve(self, reader, writer):
         self.connections += 1
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -82,25 +82,25 @@
             URL(self.url + path, encoded=True),
             data=body,
             headers=self.headers(**headers),
-        ) as answer:
-            return answer.status, answer.headers, await answer.read()
+        ) as response:
+            return response.status, response.headers, await response.read()
 
     async def stream(self, path, **headers):
         """Return the status and body of a stream, and whether it is complete."""
         received = b""
         headers = self.headers(**headers)
-        async with self.session.post(self.url + path, headers=headers) as answer:
+        async with self.session.post(self.url + path, headers=headers) as response:
             try:
-                async for data in answer.content.iter_any():
+                async for data in response.content.iter_any():
                     received += data
             except aiohttp.ClientError:
-                return answer.status, received, False
-            return answer.status, received, True
+                return response.status, received, False
+            return response.status, received, True
 
     async def is_ready(self):
         url = f"http://127.0.0.1:{self.process.ports['ready']}/v1/readyz"
-        async with self.session.get(url) as answer:
-            return answer.status == 200
+        async with self.session.get(url) as response:
+            return response.status == 200
 
     async def wait_until_ready(self):
         while not await self.is_ready():
@@ -177,7 +177,7 @@
 
 
 def pieces_of(endpoint):
-    """Return the pieces requested from an endpoint."""
+    """Return the pieces in the calls that an endpoint has received."""
     return [
         entry
         for request in endpoint.requests
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -325,8 +325,8 @@
 
     @with_endpoints(tmp_path, script, **STREAM)
     async def check(gateway, _):
-        status, body, is_whole = await gateway.stream("/job/")
-        assert (status, body, is_whole) == (200, sse_events(1), False)
+        status, body, is_complete = await gateway.stream("/job/")
+        assert (status, body, is_complete) == (200, sse_events(1), False)
 
 
 def test_a_resumable_stream_continues_after_its_last_complete_event(tmp_path):
@@ -378,8 +378,8 @@
     @with_endpoints(tmp_path, script, **options)
     async def check(gateway, endpoint):
         if options:
-            _, _, is_whole = await gateway.stream("/job/", **SHORT_DEADLINE)
-            assert not is_whole
+            _, _, is_complete = await gateway.stream("/job/", **SHORT_DEADLINE)
+            assert not is_complete
         else:
             status, _, _ = await gateway.call("/job/", **SHORT_DEADLINE)
             assert status == 504
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -291,8 +291,8 @@
         gateway = await cluster.gateway(metrics_address=f"127.0.0.1:{port}")
         await gateway.call("/job/")
         await gateway.call("/nowhere/")
-        async with gateway.session.get(f"http://127.0.0.1:{port}/metrics") as answer:
-            text = await answer.text()
+        async with gateway.session.get(f"http://127.0.0.1:{port}/metrics") as response:
+            text = await response.text()
         assert 'amaranthtally_requests_total{reason="answered",route="job"' in text
         assert 'amaranthtally_gateway_state{name="configuration"} 4' in text
         assert 'amaranthtally_gateway_state{name="configuration_heard"} 4' in text
--- a/tests/gateway/test_leaving.py
+++ b/tests/gateway/test_leaving.py
@@ -32,8 +32,8 @@
         gateway.process.send(signal.SIGTERM)
         await gateway.wait_for_event("gateway_leaving")
         assert not await gateway.is_ready()
-        _, body, is_whole = await stream
-        assert is_whole
+        _, body, is_complete = await stream
+        assert is_complete
         assert body == sse_events(*range(1, 9))
         assert await gateway.process.wait() == 0
 
@@ -75,24 +75,24 @@
         await cluster.endpoint("stage", "stage", lambda r: [60.0])
         await cluster.endpoint("e", "job", lambda r: [complete_response(r)])
         long = {"timeoutMs": 30000, "latencySloMs": 30000}
-        made = route("job", phases=stages, **STREAM | long)
-        cluster.configure(1, made, services=[{"name": "stage", "segments": segments}])
+        staged_route = route("job", phases=stages, **STREAM | long)
+        cluster.configure(1, staged_route, services=[{"name": "stage", "segments": segments}])
         gateway = await cluster.gateway(stop_grace=8.0)
         headers = {names.CHUNK_COUNTS: "1", names.DEADLINE_MS: "30000"}
         call = asyncio.create_task(gateway.call("/job/", **headers))
         await gateway.wait_for_event("request_received")
         gateway.process.send(signal.SIGTERM)
-        status, answer, _ = await call
+        status, response_headers, _ = await call
         assert status == 503
-        assert float(answer[names.RETRY_AFTER]) > 0
+        assert float(response_headers[names.RETRY_AFTER]) > 0
 
     run_with_cluster(tmp_path, check)
 
 
 def test_a_stopping_gateway_stays_deregistered(tmp_path):
     """
-    Guards against pieces that are requested from a stopping process. It took the end of
-    its own lease for an outage and registered again.
+    Guards against jobs that are submitted to a leaving gateway. It took the end of its
+    own lease for an outage and registered again.
     """
 
     async def check(cluster):
--- a/tests/gateway/test_stages.py
+++ b/tests/gateway/test_stages.py
@@ -1,4 +1,4 @@
-"""Pieces at gateways: batched calls, inputs, and gateways that stop or fail."""
+"""Pieces at gateways: batched calls, inputs, and gateways that leave or fail."""
 
 import asyncio
 import json
@@ -36,8 +36,10 @@
             cluster.engine = await cluster.endpoint(
                 "engine", "engine", lambda r: [complete_response(r, TEXT)]
             )
-            ask = route("ask", phases=stages, service="engine", **STREAM | options)
-            cluster.configure(1, ask, services=SERVICES)
+            staged_route = route(
+                "ask", phases=stages, service="engine", **STREAM | options
+            )
+            cluster.configure(1, staged_route, services=SERVICES)
             await test(cluster)
 
     run_async(run())
@@ -71,8 +73,8 @@
     async def check(cluster):
         gateway = await cluster.gateway()
         calls = [gateway.call("/ask/", **piece_headers("1,1")) for _ in range(8)]
-        answers = await asyncio.gather(*calls)
-        assert {status for status, _, _ in answers} == {200}
+        responses = await asyncio.gather(*calls)
+        assert {status for status, _, _ in responses} == {200}
         assert len(pieces_of(cluster.first)) == 8
         runs = [s for s in cluster.first.requests if s.target.endswith("run")]
         assert len(runs) <= 4
@@ -92,7 +94,7 @@
 
 
 def freed(endpoint):
-    """Return the handles of the results that an endpoint was told to free."""
+    """Return the handles in the calls that free results at an endpoint."""
     frees = [s for s in endpoint.requests if s.target.endswith("free")]
     return {handle for s in frees for handle in json.loads(s.body)["handles"]}
 
@@ -100,18 +102,18 @@
 def test_only_one_of_two_gateways_calls_an_endpoint(tmp_path):
     """
     Guards against an endpoint that refuses calls because its queue is full. Two entries
-    called it without knowing of each other.
+    called it without coordinating their calls.
     """
 
     async def check(cluster):
         gateways = [await cluster.gateway(name) for name in ("one", "two")]
-        for gateway, other in zip(gateways, reversed(gateways), strict=True):
-            await gateway.wait_for_event("peer_connected", peer=other.process.name)
+        for gateway, peer in zip(gateways, reversed(gateways), strict=True):
+            await gateway.wait_for_event("peer_connected", peer=peer.process.name)
         calls = [
             g.call("/ask/", **piece_headers("1,1")) for g in gateways for _ in range(4)
         ]
-        answers = await asyncio.gather(*calls)
-        assert {status for status, _, _ in answers} == {200}
+        responses = await asyncio.gather(*calls)
+        assert {status for status, _, _ in responses} == {200}
         assert cluster.first.connections <= 2
         callers = [g for g in gateways if any("pieces_ended" in x for x in lines_of(g))]
         assert callers
@@ -132,35 +134,35 @@
     return list(gateway.process.lines)
 
 
-def test_a_request_succeeds_when_the_gateway_that_makes_its_pieces_fails(tmp_path):
+def test_a_request_succeeds_when_the_gateway_that_runs_its_jobs_fails(tmp_path):
     """
-    Guards against a request that waits until its deadline. The gateway that was to make
-    its pieces had been killed.
+    Guards against a request that waits until its deadline. The gateway that its jobs
+    were submitted to had been killed.
     """
 
     async def check(cluster):
         gateways = [await cluster.gateway(name) for name in ("one", "two")]
-        for gateway, other in zip(gateways, reversed(gateways), strict=True):
-            await gateway.wait_for_event("peer_connected", peer=other.process.name)
+        for gateway, peer in zip(gateways, reversed(gateways), strict=True):
+            await gateway.wait_for_event("peer_connected", peer=peer.process.name)
         await asyncio.gather(
             *(g.call("/ask/", **piece_headers("1,1")) for g in gateways)
         )
         for gateway in gateways:
-            other = next(g for g in gateways if g is not gateway)
-            if any("endpoint=first" in x for x in lines_of(other)):
+            peer = next(g for g in gateways if g is not gateway)
+            if any("endpoint=first" in x for x in lines_of(peer)):
                 break
-        other.process.send(signal.SIGKILL)
+        peer.process.send(signal.SIGKILL)
         async with asyncio.timeout(3.0):
             assert (await gateway.call("/ask/", **piece_headers("1,1")))[0] == 200
 
     run_with_cluster(tmp_path, check)
 
 
-def test_a_restarted_gateway_makes_pieces_at_once(tmp_path):
+def test_a_restarted_gateway_runs_jobs_at_once(tmp_path):
     """
     Guards against two gateways that call the same endpoints after a restart of all. One
-    requests pieces from a peer that is still starting, takes it for failed and calls
-    the endpoints itself; the peer is ready a moment later and calls them as well.
+    submits jobs to a peer that is still starting, takes it for failed and calls the
+    endpoints itself; the peer is ready a moment later and calls them as well.
     """
 
     async def check(cluster):
@@ -177,17 +179,17 @@
     run_with_cluster(tmp_path, check)
 
 
-def test_a_lost_result_is_made_again_for_a_request_that_did_not_run(tmp_path):
+def test_a_lost_result_is_recomputed_for_a_request_that_did_not_run(tmp_path):
     """
     Guards against a refusal of a request that has not run. The engine could not read an
-    input, because the endpoint that held the result had restarted.
+    input, because the endpoint that stored the result had restarted.
     """
 
     async def check(cluster):
         gateway = await cluster.gateway()
         head = f"HTTP/1.1 409 Conflict\r\n{names.NOT_EXECUTED}: 1\r\nContent-Length: 0"
-        answers = iter([[f"{head}\r\n\r\n".encode()]])
-        cluster.engine.script = lambda r: next(answers, [complete_response(r, TEXT)])
+        responses = iter([[f"{head}\r\n\r\n".encode()]])
+        cluster.engine.script = lambda r: next(responses, [complete_response(r, TEXT)])
         assert (await gateway.call("/ask/", **piece_headers("1,1")))[0] == 200
         assert len(pieces_of(cluster.second)) == 2
 
@@ -197,8 +199,8 @@
 async def two_gateways(cluster):
     """Return two connected gateways; the second one calls endpoint ``first``."""
     gateways = [await cluster.gateway(name) for name in ("one", "two")]
-    for gateway, other in zip(gateways, reversed(gateways), strict=True):
-        await gateway.wait_for_event("peer_connected", peer=other.process.name)
+    for gateway, peer in zip(gateways, reversed(gateways), strict=True):
+        await gateway.wait_for_event("peer_connected", peer=peer.process.name)
     await asyncio.gather(*(g.call("/ask/", **piece_headers("1,1")) for g in gateways))
     first, second = gateways
     second_is_owner = any("endpoint=first" in line for line in lines_of(second))
@@ -207,15 +209,15 @@
 
 def slow_pieces(seconds):
     """Return a script that completes pieces after a delay."""
-    make = piece_script()
-    return lambda request: [seconds, *make(request)]
+    script = piece_script()
+    return lambda request: [seconds, *script(request)]
 
 
-def test_a_stopping_gateway_gets_the_results_of_its_requested_pieces(tmp_path):
+def test_a_leaving_gateway_gets_the_results_of_its_submitted_jobs(tmp_path):
     """
-    Guards against refused requests of a stopping gateway after seconds of work. The
+    Guards against requests that a leaving gateway refuses after seconds of work. The
     gateway removes its record first. Its peers dropped its address with the record, and
-    the owner of its pieces could not report their results.
+    the owner that ran its jobs could not report their outcomes.
     """
 
     async def check(cluster):
@@ -239,8 +241,8 @@
 def test_a_gateway_whose_lease_has_expired_keeps_its_endpoints(tmp_path):
     """
     Guards against two gateways that call the same endpoint and fill its queue. The
-    store had rejected one of them for longer than its lease, and the other took it for
-    stopped.
+    store had rejected one gateway's calls until its lease expired, and the other one
+    took it for stopped.
     """
 
     async def check(cluster):
