--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -163,9 +163,16 @@
                 if rejected.outcome is not AttemptOutcome.NOT_RUN:
                     response.close()
                 return rejected
-            if call.route.kind is CallKind.STREAMING and response_head.status == HTTP_OK:
-                return await self._relay_stream(call, send, response_head, response, started)
-            return await self._read_response(call, send, response_head, response, started)
+            if (
+                call.route.kind is CallKind.STREAMING
+                and response_head.status == HTTP_OK
+            ):
+                return await self._relay_stream(
+                    call, send, response_head, response, started
+                )
+            return await self._read_response(
+                call, send, response_head, response, started
+            )
 
     def _rejection(
         self,
--- a/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/piece_calls.py
@@ -117,7 +117,9 @@
         if response_head.status != HTTP_OK:
             outcome = "not_run" if response_head.not_run else "failed"
             self._log(action, endpoint, outcome, str(response_head.status), started)
-            return PiecesEnded(refused=response_head.not_run, running=running, queued=queued)
+            return PiecesEnded(
+                refused=response_head.not_run, running=running, queued=queued
+            )
         outcomes = pieces.read_outcomes(body, action.pieces)
         if outcomes.is_err():
             self._log(action, endpoint, "unreadable", str(outcomes.err()), started)
--- a/tests/gateway/test_leaving.py
+++ b/tests/gateway/test_leaving.py
@@ -76,7 +76,9 @@
         await cluster.endpoint("e", "job", lambda r: [complete_response(r)])
         long = {"timeoutMs": 30000, "latencySloMs": 30000}
         staged_route = route("job", phases=stages, **STREAM | long)
-        cluster.configure(1, staged_route, services=[{"name": "stage", "segments": segments}])
+        cluster.configure(
+            1, staged_route, services=[{"name": "stage", "segments": segments}]
+        )
         gateway = await cluster.gateway(stop_grace=8.0)
         headers = {names.CHUNK_COUNTS: "1", names.DEADLINE_MS: "30000"}
         call = asyncio.create_task(gateway.call("/job/", **headers))
