--- a/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/caller_handler.py
@@ -70,7 +70,7 @@
         return self._open_responses
 
     def close(self) -> None:
-        """Refuse all further requests, once the balancer sends no more."""
+        """Refuse all further requests, as the balancer should send no more."""
         self._is_closed = True
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/configuration_tracker.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/configuration_tracker.py
@@ -20,7 +20,7 @@
 
 
 class ConfigurationTracker:
-    """Passes on newer configurations; drops older and malformed ones."""
+    """Passes newer configurations to ``on_table``; drops older and malformed ones."""
 
     def __init__(self, on_table: Callable[[RouteTable], None]) -> None:
         self._on_table = on_table
@@ -55,7 +55,7 @@
         return self._value
 
     def note_version(self, version: int, source: str) -> None:
-        """Note that a version exists that has not been read yet."""
+        """Note that the store or a peer holds a version; ignored if it is not newer."""
         if version <= max(self._version, self._newest_known):
             return
         if self._newest_known <= self._version:
--- a/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/document_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches newer documents from peers when the store does not deliver them in time."""
+"""Fetches newer documents from peers if the store does not send them in time."""
 
 import asyncio
 from typing import Protocol
@@ -18,10 +18,10 @@
 # How long to wait for the store to start sending a change that a peer has reported, in
 # seconds. Longer than the pause in which the watcher batches changes.
 STORE_START_WAIT_S = 0.4
-# How much longer to wait for a store that is sending, in seconds. If a fetch from a peer
-# starts after this wait, the configuration is still in force within 4 s.
+# How much longer to wait for a store that is sending, in seconds. If a fetch from a
+# peer starts after this wait, the configuration is still in force within 4 s.
 STORE_FINISH_WAIT_S = 2.5
-# Interval between checks of whether the store is still sending, in seconds.
+# Interval between checks whether the store is still sending, in seconds.
 POLL_INTERVAL_S = 0.05
 MS_PER_S = 1000.0
 
@@ -61,8 +61,8 @@
     Fetches documents that a peer holds in a newer version, one at a time.
 
     On a slow link, fetches from several peers and the store's own response compete for
-    bandwidth. None finishes before its time-out, all start again, and they crowd out
-    other traffic. Therefore the store's response takes precedence, only one fetch runs
+    bandwidth. None finishes before its time-out, all start again, and other traffic is
+    delayed. Therefore the store's response takes precedence, only one fetch runs
     at a time, and the parts already received are kept when the peer fails.
     """
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/endpoint_calls.py
@@ -48,13 +48,13 @@
 
 
 class CallListener(Protocol):
-    """Is notified of the progress and the outcome of calls at endpoints."""
+    """Is notified of the progress and the outcome of calls to endpoints."""
 
     def load_reported(self, endpoint: str, load: EndpointLoad, awaited: bool) -> None:
         """Handle an endpoint's load; ``awaited`` if it came with a call's response."""
 
     def events_delivered(self, attempt: AttemptId, events: int) -> None:
-        """Handle the number of a stream's events that its request has received."""
+        """Handle the number of events that a stream has delivered so far."""
 
     def attempt_ended(self, attempt: AttemptId, result: AttemptResult) -> None:
         """Handle the result of an attempt."""
@@ -62,7 +62,7 @@
 
 @asynccontextmanager
 async def endpoint_session() -> AsyncIterator[aiohttp.ClientSession]:
-    """Open a session for calls at endpoints that leaves bodies unchanged."""
+    """Open a session for calls to endpoints; bodies are not decompressed."""
     connector = aiohttp.TCPConnector(
         limit=0, keepalive_timeout=IDLE_TIMEOUT_S, use_dns_cache=False
     )
--- a/packages/daemon/src/amaranthtally/daemon/gateway/event_buffer.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/event_buffer.py
@@ -25,7 +25,7 @@
 
 class EventBuffer:
     """
-    Passes on complete events only and buffers an incomplete one.
+    Returns complete events only and buffers an incomplete one.
 
     An engine may fail in the middle of an event. If the incomplete event were sent to
     the caller, it would run into the first event of the engine that resumes the stream,
--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -123,7 +123,7 @@
         return request_id in self._calls
 
     def cancel_request(self, call: LiveCall) -> None:
-        """Cancel a request whose caller has disconnected."""
+        """Cancel a request and its attempts, as its caller has disconnected."""
         if self._calls.pop(call.id, None) is None:
             return
         self._decisions.carry_out(
@@ -190,7 +190,7 @@
         self._decisions.carry_out(actions)
 
     def events_delivered(self, attempt: AttemptId, events: int) -> None:
-        """Pass the number of a stream's received events to the policy."""
+        """Pass the number of events delivered to a stream's caller to the policy."""
         actions = self._planner.progress(self._time(), attempt, events)
         self._decisions.carry_out(actions)
 
@@ -279,8 +279,9 @@
             hedge=send.hedge,
             left_ms=round((send.deadline - self._time()) * 1000),
         )
-        # Read the inputs now, with the decision. The next decision may free them before
-        # the task below starts, and the engine would get a request without its inputs.
+        # Read the inputs now, before the planner handles the next event. It may free
+        # them before the task below starts, and the engine would get a request without
+        # its inputs.
         inputs = self._planner.inputs_of(call.id)
         work = self._endpoint_calls.run(call, send, endpoint, inputs)
         call.tasks[send.attempt] = self._decisions.spawn(work)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -15,11 +15,11 @@
 __all__ = ["ENTRIES_PREFIX", "PeerRecordTracker", "Registration"]
 
 ENTRIES_PREFIX = "entries/"
-# A killed gateway stays registered for this long, in seconds. Peers that call it notice
-# the failure at once.
+# Duration of the lease, in seconds: a killed gateway stays registered for this long.
+# Peers that call it notice the failure at once.
 LEASE_TTL_S = 6.0
-# Interval between renewals, in seconds. A renewal costs a tenth of a read; three may
-# fail before the lease ends.
+# Interval between renewals, in seconds. A renewal costs a tenth of a read. Three may
+# fail in sequence before the lease expires.
 RENEW_INTERVAL_S = 1.5
 RETRY_DELAY_S = 0.3
 RETRY_JITTER = 0.5
--- a/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
@@ -94,7 +94,7 @@
     def request_ended(
         self, route: str, status: int, reason: str, seconds: float
     ) -> None:
-        """Count a request that has ended, including refused ones."""
+        """Count an ended request, also a refused one, and record its duration."""
         self._request_tally[_RequestLabels(route, str(status), reason)] += 1
         self._seconds.observe({"route": route}, seconds)
 
@@ -109,12 +109,12 @@
     def pieces_ended(
         self, pool: str, outcome: str, pieces: int, seconds: float
     ) -> None:
-        """Count the pieces of an ended call."""
+        """Count the pieces of an ended call and record its duration."""
         self._piece_tally[_CallLabels(pool, outcome)] += pieces
         self._call_seconds.observe({"pool": pool}, seconds)
 
     def store_called(self, transfer: StoreTransfer) -> None:
-        """Count a call at the store and the bytes of its response."""
+        """Count a call to the store and the bytes of its response."""
         labels = _TransferLabels(transfer.call, transfer.outcome)
         self._transfer_tally[labels] += 1
         self._received_bytes_tally[labels] += transfer.received_bytes
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_connections.py
@@ -36,7 +36,7 @@
 
 
 class _Listener(Protocol):
-    """Is notified of failed and recovered peers, and of results not released."""
+    """Is notified of failed and recovered peers, and of releases that failed."""
 
     def peer_failed(self, peer: str) -> None:
         """Handle a peer that did not answer."""
@@ -45,7 +45,7 @@
         """Handle a peer that answers and runs jobs again."""
 
     def results_not_released(self, results: Sequence[StoredResult]) -> None:
-        """Handle unused results whose release could not be sent to a peer."""
+        """Handle results whose release did not reach a peer."""
 
 
 class PeerConnections:
@@ -82,7 +82,11 @@
         self._spawn(self._submit_jobs(peer, jobs))
 
     def report_outcomes(self, peer: str, reports: Sequence[PieceReport]) -> None:
-        """Report outcomes to a peer, in the background; it resubmits overdue jobs."""
+        """
+        Report the outcomes of a peer's jobs to it, in the background.
+
+        The peer submits a job again if no report on it arrives.
+        """
         self._spawn(self._report_outcomes(peer, reports))
 
     def release_results(
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
@@ -15,7 +15,7 @@
 
 
 class PeerUpdater:
-    """Updates connections, owners of pool sites and retry budgets for the live peers."""
+    """Updates connections, pool-site owners and retry budgets for the live peers."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._prober.wake()
 
     def peer_status_received(self, name: str, record: PeerRecord) -> None:
-        """Note the record that a peer sent with its status."""
+        """Add the record that a peer sent with its status to the directory."""
         if self._peers.note_greeting(self._time(), name, record):
             log.info("peer_met", peer=name, address=record.address)
             self.apply_live_peers()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
@@ -16,7 +16,7 @@
 # A watch without events ends after this time, in seconds. A watch can stop delivering
 # events without ending; a change made meanwhile is noticed only by the next watch, and
 # it must take effect within 2.5 s (a configuration in force, a removed endpoint
-# unused). Users pay for each call at the store, so one watch covers all keys.
+# unused). Users pay for each call to the store, so one watch covers all keys.
 WATCH_TIMEOUT_S = 1.2
 # Pause before a retry while the store does not answer, in seconds. Random jitter of up
 # to a half keeps the entries from retrying at the same time.
@@ -24,9 +24,9 @@
 RETRY_JITTER = 0.5
 # Pause before the next watch after a change, in seconds. Changes come in bursts, as
 # gateways and endpoints start or stop together, and each change ends the watch of every
-# gateway. With the pause a burst costs each gateway one or two calls, not one for each
-# change. It delays a change by a tenth, at most, of the time in which it must take
-# effect.
+# gateway. With the pause, a burst costs each gateway one or two calls, not one for each
+# change. The pause delays a change by at most a tenth of the time in which the change
+# must take effect.
 CHANGE_BATCH_S = 0.25
 
 log = get_logger()
@@ -145,7 +145,7 @@
                 listener.apply_change(item)
 
     def advance_to(self, revision: int) -> None:
-        """Pass on up to which revision all changes have been received."""
+        """Pass on the revision up to which all changes have been received."""
         for listener in self._listeners.values():
             listener.advance_to(revision)
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
@@ -23,7 +23,7 @@
 
 __all__ = ["StoreSync"]
 
-# The prefix of every key. A gateway watches all of the store, as it needs every key.
+# The empty prefix, which matches every key. A gateway needs all keys of the store.
 ALL_KEYS = ""
 # Interval between removals of endpoints and peers whose records expired, in seconds.
 EXPIRE_INTERVAL_S = 0.5
--- a/packages/daemon/src/amaranthtally/daemon/gateway/transfer_reporter.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/transfer_reporter.py
@@ -1,4 +1,4 @@
-"""Logs and counts the calls at the store and the bytes of its responses."""
+"""Logs and counts the calls to the store and the bytes of its responses."""
 
 from amaranthtally.daemon.gateway.metrics import GatewayMetrics
 from amaranthtally.daemon.logs import get_logger
@@ -6,8 +6,8 @@
 
 __all__ = ["TransferReporter"]
 
-# Responses of at least this size are logged, in bytes. Changes of records are a
-# hundredth of it and too frequent to log each.
+# Responses of at least this size are logged, in bytes. A response with changed records
+# has a hundredth of this size; such responses are too frequent to log each one.
 LOGGED_BYTES = 65_536
 MS_PER_S = 1000.0
 
@@ -15,7 +15,7 @@
 
 
 class TransferReporter:
-    """Counts every call at the store; logs large responses, also incomplete ones."""
+    """Counts every call to the store; logs large responses, also incomplete ones."""
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
--- a/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/version_gossip.py
@@ -1,4 +1,4 @@
-"""Gossips document versions among gateways, also while the store does not answer."""
+"""Exchanges document versions among gateways, even if the store does not answer."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -12,8 +12,8 @@
 
 __all__ = ["VersionGossip"]
 
-# Peers contacted in each round, whatever their number. A new version reaches all n
-# gateways in about log(n) rounds, and the cost of a round does not grow with n.
+# Number of peers contacted in each round. A new version reaches all n gateways in about
+# log(n) rounds, and the cost of a round does not grow with n.
 FANOUT = 2
 # Interval between rounds while the store answers, and while it does not, in seconds. A
 # gateway whose watch receives no events, or that the store rejects, gets the newest
