--- a/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/executor.py
@@ -279,9 +279,9 @@
             hedge=send.hedge,
             left_ms=round((send.deadline - self._time()) * 1000),
         )
-        # Read the inputs now, before the planner handles the next event. It may free
-        # them before the task below starts, and the engine would get a request without
-        # its inputs.
+        # Read the inputs now, before the planner handles the next event. The planner
+        # may then free them before the task below starts, and the engine would get a
+        # request without its inputs.
         inputs = self._planner.inputs_of(call.id)
         work = self._endpoint_calls.run(call, send, endpoint, inputs)
         call.tasks[send.attempt] = self._decisions.spawn(work)
--- a/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/metrics.py
@@ -99,7 +99,11 @@
         self._seconds.observe({"route": route}, seconds)
 
     def request_rejected(self, status: int) -> None:
-        """Count a rejected request, without its path: callers can send any path."""
+        """
+        Count a rejected request.
+
+        Its path is not a label, as callers can send an unlimited number of paths.
+        """
         self._request_tally[_RequestLabels("", str(status), "rejected")] += 1
 
     def attempt_ended(self, pool: str, outcome: str) -> None:
