--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_handler.py
@@ -96,7 +96,7 @@
         self._executor.reports_received(reports)
 
     def release_results(self, results: Sequence[StoredResult], ended: str) -> None:
-        """Free results that a peer releases; ``ended`` is the id of an ended request."""
+        """Free results that a peer releases; ``ended`` is an ended request's id."""
         self._executor.results_freed(results, ended)
 
     def _refresh_snapshot(
