--- a/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/membership.py
@@ -15,11 +15,11 @@
 __all__ = ["ENTRIES_PREFIX", "PeerRecordTracker", "Registration"]
 
 ENTRIES_PREFIX = "entries/"
-# A killed gateway stays registered for this long, in seconds. Peers that call it notice
-# the failure at once.
+# Duration of the lease, in seconds: a killed gateway stays registered for this long.
+# Peers that call it notice the failure at once.
 LEASE_TTL_S = 6.0
-# Interval between renewals, in seconds. A renewal costs a tenth of a read; three may
-# fail before the lease ends.
+# Interval between renewals, in seconds. A renewal costs a tenth of a read. Three may
+# fail in sequence before the lease expires.
 RENEW_INTERVAL_S = 1.5
 RETRY_DELAY_S = 0.3
 RETRY_JITTER = 0.5
@@ -48,7 +48,7 @@
             await asyncio.sleep(pause_s * (1.0 + RETRY_JITTER * self._random.random()))
 
     async def deregister(self) -> None:
-        """Remove the record, so that peers request no more pieces here."""
+        """Remove the record, so that peers submit no more jobs to this gateway."""
         self._is_deregistered = True
         if self._lease:
             await self._client.end_lease(self._lease)
@@ -109,7 +109,7 @@
         self._directory.replace(self._time(), peers)
         for name in self._directory.unconfirmed:
             if name not in unconfirmed_before:
-                log.info("peer_doubted", peer=name, cause="no record among all")
+                log.info("peer_doubted", peer=name, cause="no record in the listing")
         self._on_change()
 
     def apply_change(self, item: StoreItem) -> None:
@@ -126,7 +126,7 @@
         self._on_change()
 
     def advance_to(self, revision: int) -> None:
-        """Do nothing: records of gateways come from the store only."""
+        """Do nothing: gateways' records are not fetched from peers."""
 
     def store_unreachable(self) -> None:
         """Keep the known peers."""
--- a/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/peer_updater.py
@@ -1,4 +1,4 @@
-"""Propagates changes of the set of live peers within a gateway."""
+"""Applies changes of the set of live peers within a gateway."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 class PeerUpdater:
-    """Applies the set of live peers to connections, pool owners and retry budgets."""
+    """Updates connections, pool-site owners and retry budgets for the live peers."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
 
     @property
     def prober(self) -> PeerProber:
-        """The prober of the peers whose records are missing."""
+        """The prober of unconfirmed peers, to be run in the background."""
         return self._prober
 
     def apply_live_peers(self) -> None:
@@ -46,7 +46,7 @@
         self._prober.wake()
 
     def peer_status_received(self, name: str, record: PeerRecord) -> None:
-        """Note the record that a peer sent with its status."""
+        """Add the record that a peer sent with its status to the directory."""
         if self._peers.note_greeting(self._time(), name, record):
             log.info("peer_met", peer=name, address=record.address)
             self.apply_live_peers()
--- a/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/prefix_watcher.py
@@ -16,7 +16,7 @@
 # A watch without events ends after this time, in seconds. A watch can stop delivering
 # events without ending; a change made meanwhile is noticed only by the next watch, and
 # it must take effect within 2.5 s (a configuration in force, a removed endpoint
-# unused). Users pay for each call at the store, so one watch covers all keys.
+# unused). Users pay for each call to the store, so one watch covers all keys.
 WATCH_TIMEOUT_S = 1.2
 # Pause before a retry while the store does not answer, in seconds. Random jitter of up
 # to a half keeps the entries from retrying at the same time.
@@ -24,9 +24,9 @@
 RETRY_JITTER = 0.5
 # Pause before the next watch after a change, in seconds. Changes come in bursts, as
 # gateways and endpoints start or stop together, and each change ends the watch of every
-# gateway. With the pause a burst costs each gateway one or two calls, not one for each
-# change. It delays a change by a tenth, at most, of the time in which it must take
-# effect.
+# gateway. With the pause, a burst costs each gateway one or two calls, not one for each
+# change. The pause delays a change by at most a tenth of the time in which the change
+# must take effect.
 CHANGE_BATCH_S = 0.25
 
 log = get_logger()
@@ -73,41 +73,41 @@
         """Watch until cancelled."""
         while True:
             if self._revision is None:
-                answer = await self._client.list(self._prefix)
-                self._apply_listing(answer)
+                response = await self._client.list(self._prefix)
+                self._apply_listing(response)
             else:
-                answer = await self._client.watch(
+                response = await self._client.watch(
                     self._prefix, self._revision, WATCH_TIMEOUT_S
                 )
-                self._apply_changes(answer)
-            await asyncio.sleep(self._pause_s(answer))
+                self._apply_changes(response)
+            await asyncio.sleep(self._pause_s(response))
 
-    def _pause_s(self, answer: Result[StoreEvents, PlatformError]) -> float:
-        if isinstance(answer, Err):
+    def _pause_s(self, response: Result[StoreEvents, PlatformError]) -> float:
+        if isinstance(response, Err):
             return RETRY_DELAY_S * (1.0 + RETRY_JITTER * self._random.random())
-        return CHANGE_BATCH_S if answer.ok_value.items else 0.0
+        return CHANGE_BATCH_S if response.ok_value.items else 0.0
 
-    def _apply_listing(self, answer: Result[StoreEvents, PlatformError]) -> None:
-        if isinstance(answer, Err):
-            self._report_unreachable(answer.err_value)
+    def _apply_listing(self, response: Result[StoreEvents, PlatformError]) -> None:
+        if isinstance(response, Err):
+            self._report_unreachable(response.err_value)
             return
         self._report_reachable()
-        listing = answer.ok_value
+        listing = response.ok_value
         self._listener.replace(listing.items)
         self._revision = listing.revision
         self._listener.advance_to(listing.revision)
 
-    def _apply_changes(self, answer: Result[StoreEvents, PlatformError]) -> None:
-        if isinstance(answer, Err):
+    def _apply_changes(self, response: Result[StoreEvents, PlatformError]) -> None:
+        if isinstance(response, Err):
             # Changes may have been made during the outage, and the store may compact
             # its history before it answers again. Listing the prefix again costs one
             # call and misses nothing.
             self._revision = None
-            if not isinstance(answer.err_value, PlatformHistoryCompacted):
-                self._report_unreachable(answer.err_value)
+            if not isinstance(response.err_value, PlatformHistoryCompacted):
+                self._report_unreachable(response.err_value)
             return
         self._report_reachable()
-        events = answer.ok_value
+        events = response.ok_value
         for item in events.items:
             self._listener.apply_change(item)
         assert self._revision is not None
@@ -145,7 +145,7 @@
                 listener.apply_change(item)
 
     def advance_to(self, revision: int) -> None:
-        """Pass on up to which revision all changes have been received."""
+        """Pass on the revision up to which all changes have been received."""
         for listener in self._listeners.values():
             listener.advance_to(revision)
 
--- a/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
+++ b/packages/daemon/src/amaranthtally/daemon/gateway/store_sync.py
@@ -23,7 +23,7 @@
 
 __all__ = ["StoreSync"]
 
-# The prefix of every key. A gateway watches all of the store, as it needs every key.
+# The empty prefix, which matches every key. A gateway needs all keys of the store.
 ALL_KEYS = ""
 # Interval between removals of endpoints and peers whose records expired, in seconds.
 EXPIRE_INTERVAL_S = 0.5
@@ -37,18 +37,18 @@
         client: StoreClient,
         configuration: ConfigurationTracker,
         records: EndpointRecordTracker,
-        entries: PeerRecordTracker,
+        peer_records: PeerRecordTracker,
         registration: Registration,
         random: Random,
     ) -> None:
         self._client = client
         self._records = records
-        self._peer_records = entries
+        self._peer_records = peer_records
         self._registration = registration
         listeners: dict[str, PrefixListener] = {
             CONFIGURATION_KEY: configuration,
             SERVERS_PREFIX: records,
-            ENTRIES_PREFIX: entries,
+            ENTRIES_PREFIX: peer_records,
         }
         self._watcher = PrefixWatcher(
             client, ALL_KEYS, PrefixDispatcher(listeners), random
