--- a/packages/standins/src/amaranthtally/standins/chaos/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__main__.py
@@ -16,13 +16,13 @@
 
 from amaranthtally.standins.chaos.balancer import Balancer
 from amaranthtally.standins.chaos.callers import Callers
+from amaranthtally.standins.chaos.chaos_run import ChaosRun
 from amaranthtally.standins.chaos.faults import fault_names, inject
 from amaranthtally.standins.chaos.record_checks import (
     EFFECT_POOL,
     ENGINE_POOL,
     check_records,
 )
-from amaranthtally.standins.chaos.world import World
 from amaranthtally.standins.deployment import (
     DeploymentPlan,
     load_plan,
@@ -53,7 +53,7 @@
     arguments = parser.parse_args()
     started = time.monotonic()
     names = arguments.only or fault_names()
-    world = asyncio.run(
+    run = asyncio.run(
         run_chaos(
             load_plan(arguments.plan),
             arguments.seed,
@@ -63,13 +63,13 @@
             names,
         )
     )
-    for name, count in sorted(world.counts.items()):
+    for name, count in sorted(run.counts.items()):
         sys.stdout.write(f"{name}={count}\n")
     sys.stdout.write(f"seconds={time.monotonic() - started:.0f}\n")
-    sys.stdout.write(f"violations={len(world.violations)}\n")
-    for violation in world.violations:
+    sys.stdout.write(f"violations={len(run.violations)}\n")
+    for violation in run.violations:
         sys.stdout.write(f"violation: {violation}\n")
-    return 1 if world.violations else 0
+    return 1 if run.violations else 0
 
 
 async def run_chaos(
@@ -79,18 +79,18 @@
     faults: int,
     at_once: int = AT_ONCE,
     names: list[str] | None = None,
-) -> World:
+) -> ChaosRun:
     """Run one seed; the returned world holds the counts and the violations."""
     async with (
         open_deployment(_with_fast_endpoints(plan), ENTRIES, SERVERS) as deployment,
         open_relays(deployment, EFFECT_POOL, ENGINE_POOL) as relays,
     ):
         balancer = Balancer(deployment)
-        world = World(deployment, balancer, Random(seed), relays)
+        run = ChaosRun(deployment, balancer, Random(seed), relays)
         polling = asyncio.create_task(balancer.run())
-        callers = Callers(world, seed, TOKENS_PER_ANSWER)
+        callers = Callers(run, seed, TOKENS_PER_ANSWER)
         injecting = asyncio.create_task(
-            _inject_all(world, faults, names or fault_names())
+            _inject_all(run, faults, names or fault_names())
         )
         await callers.run(requests, at_once)
         # Keep sending until the last fault has been undone, so that every fault occurs
@@ -101,21 +101,21 @@
             number += at_once
         await injecting
         await asyncio.sleep(SETTLE_S)
-        await check_records(world, callers)
+        await check_records(run, callers)
         polling.cancel()
         with suppress(asyncio.CancelledError):
             await polling
-        return world
+        return run
 
 
-async def _inject_all(world: World, faults: int, names: list[str]) -> None:
+async def _inject_all(run: ChaosRun, faults: int, names: list[str]) -> None:
     injected = 0
     while injected < faults:
         simultaneous = (
-            faults - injected > 1 and world.random.random() < SIMULTANEOUS_SHARE
+            faults - injected > 1 and run.random.random() < SIMULTANEOUS_SHARE
         )
-        batch = [world.random.choice(names) for _ in range(2 if simultaneous else 1)]
-        await asyncio.gather(*(inject(world, name) for name in batch))
+        batch = [run.random.choice(names) for _ in range(2 if simultaneous else 1)]
+        await asyncio.gather(*(inject(run, name) for name in batch))
         injected += len(batch)
 
 
--- a/packages/standins/src/amaranthtally/standins/chaos/callers.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/callers.py
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from amaranthtally.standins.chaos.world import World
+from amaranthtally.standins.chaos.chaos_run import ChaosRun
 from amaranthtally.standins.engine import words_for
 from amaranthtally.standins.pools import RerankerStandIn, RetrieverStandIn
 
@@ -40,16 +40,16 @@
 
     def __init__(
         self,
-        world: World,
+        run: ChaosRun,
         seed: int,
         tokens: int,
         kinds: tuple[str, ...] = tuple(WEIGHTS),
     ) -> None:
-        self._world = world
+        self._run = run
         self._random = Random(seed)
         self._tokens = tokens
         self._kinds = kinds
-        self._session: aiohttp.ClientSession = world.deployment.http
+        self._session: aiohttp.ClientSession = run.deployment.http
         self.effects: list[Effect] = []
         self.not_run_ids: list[str] = []
 
@@ -73,7 +73,7 @@
         if kind == "effect":
             await self._effect(number)
         else:
-            entry = await self._world.balancer.pick(self._random)
+            entry = await self._run.balancer.pick(self._random)
             await self._answer(entry, f"claim {number}", kind == "stream")
 
     # Requests without effects
@@ -88,7 +88,7 @@
         elif stream:
             self._check_stream(text, content)
         else:
-            self._world.counts["answered whole"] += 1
+            self._run.counts["answered whole"] += 1
             answer = msgspec.json.decode(content)["output"]["text"]
             self._check_text(text, answer)
 
@@ -99,23 +99,23 @@
             self._count_refusal_document(data)
             return
         if kind != "done":
-            self._world.add_violation(f"stream of {text!r} ended in {kind}")
+            self._run.add_violation(f"stream of {text!r} ended in {kind}")
             return
-        self._world.counts["answered by stream"] += 1
+        self._run.counts["answered by stream"] += 1
         parts = "".join(d["text"] for k, d in events if k == "chunk")
         self._check_text(text, parts)
         self._check_text(text, data["output"]["text"])
 
     def _check_text(self, text: str, answer: str) -> None:
         if answer != expected_text(text, self._tokens):
-            self._world.add_violation(f"{text!r} got the wrong answer {answer!r}")
+            self._run.add_violation(f"{text!r} got the wrong answer {answer!r}")
 
     def _count_refusal(self, content: bytes) -> None:
         self._count_refusal_document(msgspec.json.decode(content))
 
     def _count_refusal_document(self, document: dict[str, Any]) -> None:
         outcome = document["outcome"]
-        self._world.counts[f"refused {outcome} {document['status']}"] += 1
+        self._run.counts[f"refused {outcome} {document['status']}"] += 1
         if outcome == "not_run" and document.get("request_id"):
             self.not_run_ids.append(document["request_id"])
 
@@ -136,7 +136,7 @@
         # Pick an entry for each order. One that was picked before the previous order
         # was answered may have been stopped since, and a real balancer would no longer
         # send requests to it.
-        entry = await self._world.balancer.pick(self._random)
+        entry = await self._run.balancer.pick(self._random)
         await self._order(entry, effect)
 
     async def repeat_until_known(self, at_once: int) -> None:
@@ -161,11 +161,11 @@
             return
         document = msgspec.json.decode(content)
         if status == 200:
-            self._world.counts["effect answered"] += 1
+            self._run.counts["effect answered"] += 1
             effect.orders.append(document["output"]["order"])
             return
         refusal = f"effect {document['outcome']} {status} {document['title']}"
-        self._world.counts[refusal] += 1
+        self._run.counts[refusal] += 1
         if document["outcome"] == "not_run":
             effect.not_run += 1
         else:
@@ -176,11 +176,11 @@
     async def _send(
         self, entry: int, pipeline: str, body: dict[str, Any], headers: dict[str, str]
     ) -> tuple[int, bytes]:
-        deployment = self._world.deployment
+        deployment = self._run.deployment
         account = self._random.choice(deployment.plan.accounts[:1])
         loop = asyncio.get_running_loop()
         started = loop.time()
-        self._world.counts["sent"] += 1
+        self._run.counts["sent"] += 1
         try:
             async with self._session.post(
                 f"{deployment.entry_url(entry)}/v1/pipelines/{pipeline}/requests",
@@ -190,11 +190,11 @@
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientError, TimeoutError) as error:
-            if not self._world.was_disrupted(entry, started, loop.time()):
-                self._world.add_violation(
+            if not self._run.was_disrupted(entry, started, loop.time()):
+                self._run.add_violation(
                     f"entry-{entry + 1} sent no complete answer: {error!r}"
                 )
-            self._world.counts["connection lost with its entry"] += 1
+            self._run.counts["connection lost with its entry"] += 1
             return 0, b""
 
 
--- a/packages/standins/src/amaranthtally/standins/chaos/world.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/chaos_run.py
@@ -14,7 +14,7 @@
 from amaranthtally.standins.process import Process
 from amaranthtally.standins.relay import Relay
 
-__all__ = ["EntryDisruption", "World"]
+__all__ = ["EntryDisruption", "ChaosRun"]
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class ChaosRun:
     """
     The deployment under test, with the counts and violations of the run.
 
--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -7,14 +7,14 @@
 
 import aiohttp
 
-from amaranthtally.standins.chaos.world import EntryDisruption, World
+from amaranthtally.standins.chaos.chaos_run import ChaosRun, EntryDisruption
 from amaranthtally.standins.deployment import ADMIN_KEY
 from amaranthtally.standins.process import Process
 from amaranthtally.standins.relay import LinkFault
 
 __all__ = ["Fault", "fault_names", "inject"]
 
-Fault = Callable[[World], Awaitable[None]]
+Fault = Callable[[ChaosRun], Awaitable[None]]
 _FAULTS: dict[str, Fault] = {}
 SHORT_S = 0.3
 LONG_S = 2.5
@@ -27,10 +27,10 @@
     return sorted(_FAULTS)
 
 
-async def inject(world: World, name: str) -> None:
+async def inject(run: ChaosRun, name: str) -> None:
     """Cause a fault and undo it; return once it is undone."""
-    world.counts[f"fault {name}"] += 1
-    await _FAULTS[name](world)
+    run.counts[f"fault {name}"] += 1
+    await _FAULTS[name](run)
 
 
 def _fault(function: Fault) -> Fault:
@@ -38,171 +38,169 @@
     return function
 
 
-def _random_duration_s(world: World) -> float:
-    return world.random.uniform(SHORT_S, LONG_S)
+def _random_duration_s(run: ChaosRun) -> float:
+    return run.random.uniform(SHORT_S, LONG_S)
 
 
 async def _with_knobs(
-    world: World, process: Process, knobs: dict[str, Any], normal_knobs: dict[str, Any]
+    run: ChaosRun, process: Process, knobs: dict[str, Any], normal_knobs: dict[str, Any]
 ) -> None:
-    await world.deployment.set_knobs(process, **knobs)
-    await asyncio.sleep(_random_duration_s(world))
-    await world.deployment.set_knobs(process, **normal_knobs)
+    await run.deployment.set_knobs(process, **knobs)
+    await asyncio.sleep(_random_duration_s(run))
+    await run.deployment.set_knobs(process, **normal_knobs)
 
 
 # Sidecars
 
 
 @_fault
-async def _kill_sidecar(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        pair = world.pair(name)
+async def _kill_sidecar(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        pair = run.pair(name)
         await pair.sidecar.kill()
         await asyncio.sleep(SHORT_S)
-        await world.start_sidecar(pair)
+        await run.start_sidecar(pair)
 
 
 @_fault
-async def _freeze_sidecar(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        await world.freeze(world.pair(name).sidecar, _random_duration_s(world))
+async def _freeze_sidecar(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        await run.freeze(run.pair(name).sidecar, _random_duration_s(run))
 
 
 @_fault
-async def _stop_sidecar(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        await world.stop_sidecar(world.pair(name))
+async def _stop_sidecar(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        await run.stop_sidecar(run.pair(name))
 
 
 # Links between entries and sidecars
 
 
-async def _fail_link(world: World, fault: LinkFault) -> None:
-    async with world.reserve_target(world.linked_endpoints()) as name:
-        relay = world.relays[name]
+async def _fail_link(run: ChaosRun, fault: LinkFault) -> None:
+    async with run.reserve_target(run.linked_endpoints()) as name:
+        relay = run.relays[name]
         relay.fail(fault)
-        await asyncio.sleep(_random_duration_s(world))
+        await asyncio.sleep(_random_duration_s(run))
         relay.clear_fault()
 
 
 @_fault
-async def _link_resets(world: World) -> None:
-    await _fail_link(world, LinkFault.RESET)
+async def _link_resets(run: ChaosRun) -> None:
+    await _fail_link(run, LinkFault.RESET)
 
 
 @_fault
-async def _link_holds(world: World) -> None:
-    await _fail_link(world, LinkFault.HELD)
+async def _link_holds(run: ChaosRun) -> None:
+    await _fail_link(run, LinkFault.HELD)
 
 
 @_fault
-async def _link_half_open(world: World) -> None:
-    await _fail_link(world, LinkFault.HALF_OPEN)
+async def _link_half_open(run: ChaosRun) -> None:
+    await _fail_link(run, LinkFault.HALF_OPEN)
 
 
 @_fault
-async def _link_loses_answers(world: World) -> None:
-    await _fail_link(world, LinkFault.ANSWERS_LOST)
+async def _link_loses_answers(run: ChaosRun) -> None:
+    await _fail_link(run, LinkFault.ANSWERS_LOST)
 
 
 # Endpoints
 
 
 @_fault
-async def _freeze_endpoint(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        await world.freeze(world.pair(name).service, _random_duration_s(world))
+async def _freeze_endpoint(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        await run.freeze(run.pair(name).service, _random_duration_s(run))
 
 
 @_fault
-async def _cut_streams(world: World) -> None:
-    async with world.reserve_target(world.endpoints("engine")) as name:
-        cut = {"cut_after_tokens": world.random.randint(1, 4)}
+async def _cut_streams(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints("engine")) as name:
+        cut = {"cut_after_tokens": run.random.randint(1, 4)}
         normal_knobs = {"cut_after_tokens": 0}
-        await _with_knobs(world, world.pair(name).service, cut, normal_knobs)
+        await _with_knobs(run, run.pair(name).service, cut, normal_knobs)
 
 
 @_fault
-async def _fail_calls(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        service = world.pair(name).service
-        await _with_knobs(world, service, {"fail_rate": 0.5}, {"fail_rate": 0.0})
+async def _fail_calls(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        service = run.pair(name).service
+        await _with_knobs(run, service, {"fail_rate": 0.5}, {"fail_rate": 0.0})
 
 
 @_fault
-async def _slow_endpoint(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*ALL_KINDS)) as name:
-        service = world.pair(name).service
-        await _with_knobs(world, service, {"slow": 0.5}, {"slow": 0.0})
+async def _slow_endpoint(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+        service = run.pair(name).service
+        await _with_knobs(run, service, {"slow": 0.5}, {"slow": 0.0})
 
 
 @_fault
-async def _stuck_after_effect(world: World) -> None:
-    async with world.reserve_target(world.endpoints("plain")) as name:
-        service = world.pair(name).service
-        await _with_knobs(world, service, {"stuck_after": True}, {"stuck_after": False})
+async def _stuck_after_effect(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints("plain")) as name:
+        service = run.pair(name).service
+        await _with_knobs(run, service, {"stuck_after": True}, {"stuck_after": False})
 
 
 # Platform
 
 
 @_fault
-async def _platform_outage(world: World) -> None:
-    async with world.reserve_target(["platform"]):
-        platform = world.deployment.platform
-        await _with_knobs(world, platform, {"outage": True}, {"outage": False})
+async def _platform_outage(run: ChaosRun) -> None:
+    async with run.reserve_target(["platform"]):
+        platform = run.deployment.platform
+        await _with_knobs(run, platform, {"outage": True}, {"outage": False})
 
 
 @_fault
-async def _platform_slow(world: World) -> None:
-    async with world.reserve_target(["platform"]):
-        await _with_knobs(
-            world, world.deployment.platform, {"slow": 0.7}, {"slow": 0.0}
-        )
+async def _platform_slow(run: ChaosRun) -> None:
+    async with run.reserve_target(["platform"]):
+        await _with_knobs(run, run.deployment.platform, {"slow": 0.7}, {"slow": 0.0})
 
 
 @_fault
-async def _platform_loses_answers(world: World) -> None:
-    async with world.reserve_target(["platform"]):
-        lost = {"lose_answers": world.random.randint(1, 5)}
-        platform = world.deployment.platform
-        await _with_knobs(world, platform, lost, {"lose_answers": 0})
+async def _platform_loses_answers(run: ChaosRun) -> None:
+    async with run.reserve_target(["platform"]):
+        lost = {"lose_answers": run.random.randint(1, 5)}
+        platform = run.deployment.platform
+        await _with_knobs(run, platform, lost, {"lose_answers": 0})
 
 
 # Entries
 
 
 @_fault
-async def _kill_entry(world: World) -> None:
-    async with world.reserve_target(world.entries()) as name:
-        number = world.entries().index(name)
-        disruption = _start_disruption(world, number)
-        await world.deployment.entries[number].kill()
-        await world.start_entry(number)
-        await world.balancer.wait_ready(number)
+async def _kill_entry(run: ChaosRun) -> None:
+    async with run.reserve_target(run.entries()) as name:
+        number = run.entries().index(name)
+        disruption = _start_disruption(run, number)
+        await run.deployment.entries[number].kill()
+        await run.start_entry(number)
+        await run.balancer.wait_ready(number)
         disruption.end = asyncio.get_running_loop().time()
 
 
 @_fault
-async def _freeze_entry(world: World) -> None:
-    async with world.reserve_target(world.entries()) as name:
-        number = world.entries().index(name)
-        disruption = _start_disruption(world, number)
-        await world.freeze(world.deployment.entries[number], _random_duration_s(world))
+async def _freeze_entry(run: ChaosRun) -> None:
+    async with run.reserve_target(run.entries()) as name:
+        number = run.entries().index(name)
+        disruption = _start_disruption(run, number)
+        await run.freeze(run.deployment.entries[number], _random_duration_s(run))
         disruption.end = asyncio.get_running_loop().time()
 
 
 @_fault
-async def _stop_entry(world: World) -> None:
-    async with world.reserve_target(world.entries()) as name:
-        number = world.entries().index(name)
-        await world.stop_entry(number)
-        await world.balancer.wait_ready(number)
+async def _stop_entry(run: ChaosRun) -> None:
+    async with run.reserve_target(run.entries()) as name:
+        number = run.entries().index(name)
+        await run.stop_entry(number)
+        await run.balancer.wait_ready(number)
 
 
-def _start_disruption(world: World, number: int) -> EntryDisruption:
+def _start_disruption(run: ChaosRun, number: int) -> EntryDisruption:
     disruption = EntryDisruption(number, asyncio.get_running_loop().time())
-    world.disruptions.append(disruption)
+    run.disruptions.append(disruption)
     return disruption
 
 
@@ -210,41 +208,41 @@
 
 
 @_fault
-async def _race_operators(world: World) -> None:
-    numbers = sorted(world.balancer.ready)
+async def _race_operators(run: ChaosRun) -> None:
+    numbers = sorted(run.balancer.ready)
     changes = [
-        _commit(world, number, {"pipeline:race": {"deadline_ms": 1000 + number}})
+        _commit(run, number, {"pipeline:race": {"deadline_ms": 1000 + number}})
         for number in numbers
     ]
     committed = [number for number in await asyncio.gather(*changes) if number]
     if len(committed) != len(set(committed)):
-        world.add_violation(f"two operators got the same change number: {committed}")
+        run.add_violation(f"two operators got the same change number: {committed}")
 
 
 @_fault
-async def _drain_host(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*REPEATABLE_KINDS)) as name:
-        host = world.pair(name).host
+async def _drain_host(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*REPEATABLE_KINDS)) as name:
+        host = run.pair(name).host
         for drained in (True, False):
-            while not await _commit_anywhere(world, {f"drain.{host}": drained}):
+            while not await _commit_anywhere(run, {f"drain.{host}": drained}):
                 await asyncio.sleep(SHORT_S)
             await asyncio.sleep(SHORT_S)
 
 
-async def _commit_anywhere(world: World, firm: dict[str, Any]) -> int:
-    number = await world.balancer.pick(world.random)
-    return await _commit(world, number, {"firm": firm})
+async def _commit_anywhere(run: ChaosRun, firm_settings: dict[str, Any]) -> int:
+    number = await run.balancer.pick(run.random)
+    return await _commit(run, number, {"firm": firm_settings})
 
 
-async def _commit(world: World, entry: int, tree: dict[str, dict[str, Any]]) -> int:
+async def _commit(run: ChaosRun, entry: int, tree: dict[str, dict[str, Any]]) -> int:
     ops = [
         {"scope": scope, "key": key, "value": value}
         for scope, table in tree.items()
         for key, value in table.items()
     ]
     try:
-        async with world.deployment.http.post(
-            world.deployment.admin_url(entry) + "/admin/v1/changes",
+        async with run.deployment.http.post(
+            run.deployment.admin_url(entry) + "/admin/v1/changes",
             json={"who": f"operator-{entry}", "why": "randomised run", "ops": ops},
             headers={"Authorization": f"Bearer {ADMIN_KEY}"},
             timeout=aiohttp.ClientTimeout(total=10.0),
@@ -261,14 +259,14 @@
 
 
 @_fault
-async def _kill_endpoint(world: World) -> None:
-    async with world.reserve_target(world.endpoints(*REPEATABLE_KINDS)) as name:
-        pair = world.pair(name)
+async def _kill_endpoint(run: ChaosRun) -> None:
+    async with run.reserve_target(run.endpoints(*REPEATABLE_KINDS)) as name:
+        pair = run.pair(name)
         port = pair.service.ports["port"]
-        pool = next(p for p in world.deployment.plan.pools if p.name == pair.pool)
+        pool = next(p for p in run.deployment.plan.pools if p.name == pair.pool)
         pair.service.send(signal.SIGKILL)
         await pair.service.wait()
         await asyncio.sleep(SHORT_S)
-        pair.service = await world.deployment.start_standin_at(
+        pair.service = await run.deployment.start_standin_at(
             pair.id, pool.kind, port, pool.knobs
         )
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -247,9 +247,9 @@
         from hashlib import sha256
 
         tree: dict[str, dict[str, Any]] = {k: dict(v) for k, v in self._flat().items()}
-        firm = tree.setdefault("firm", {})
+        firm_settings = tree.setdefault("firm", {})
         for pair in self.endpoints.values():
-            firm[f"endpoint.{pair.id}"] = pair.registration()
+            firm_settings[f"endpoint.{pair.id}"] = pair.registration()
         for account in self.plan.accounts:
             scope = tree.setdefault(f"account:{account.name}", {})
             scope["key_sha256"] = sha256(account.key.encode()).hexdigest()
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -56,7 +56,7 @@
         self._bytes_per_s = bytes_per_s
         self._free_at = 0.0
         self._overslept_s = 0.0
-        self._carried = 0
+        self._sent_bytes = 0
 
     @property
     def bytes_per_s(self) -> float:
@@ -64,11 +64,11 @@
         return self._bytes_per_s
 
     @property
-    def carried(self) -> int:
+    def sent_bytes(self) -> int:
         """Bytes sent over the link so far."""
-        return self._carried
+        return self._sent_bytes
 
-    async def carry(self, size: int) -> None:
+    async def throttle(self, size: int) -> None:
         """
         Wait until ``size`` bytes have been sent at the link's rate.
 
@@ -81,7 +81,7 @@
         ends_at = max(now - catch_up_s, self._free_at) + size / self._bytes_per_s
         self._free_at = ends_at
         self._overslept_s = 0.0
-        self._carried += size
+        self._sent_bytes += size
         await asyncio.sleep(max(0.0, ends_at - now))
         self._overslept_s = max(0.0, loop.time() - self._free_at)
 
@@ -98,12 +98,12 @@
         self._changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
         self._port = 0
-        self._carried = 0
+        self._forwarded_reply_bytes = 0
 
     @property
-    def carried(self) -> int:
+    def forwarded_reply_bytes(self) -> int:
         """Bytes of replies forwarded so far."""
-        return self._carried
+        return self._forwarded_reply_bytes
 
     @property
     def address(self) -> str:
@@ -166,7 +166,7 @@
         while True:
             data = await reader.read(RATE_LIMITED_CHUNK_BYTES if link else CHUNK_BYTES)
             if link:
-                await link.carry(len(data))
+                await link.throttle(len(data))
             while self._mode(requests) is _DirectionMode.HOLD:
                 await self._changed.wait()
             if self._mode(requests) is _DirectionMode.DROP:
@@ -177,7 +177,7 @@
                 # Close instead of abort, so that bytes held back are still delivered.
                 writer.close()
                 return
-            self._carried += 0 if requests else len(data)
+            self._forwarded_reply_bytes += 0 if requests else len(data)
             writer.write(data)
             await writer.drain()
 
@@ -203,13 +203,13 @@
     """Put relays before the sidecars of some pools; yield the relays by endpoint id."""
     async with AsyncExitStack() as stack:
         relays: dict[str, Relay] = {}
-        firm = {}
+        firm_settings = {}
         for pair in [p for pool in pools for p in deployment.pool(pool)]:
             relay = relays[pair.id] = Relay(pair.address)
             await stack.enter_async_context(relay.serve())
             registration = {**pair.registration(), "address": relay.address}
-            firm[f"endpoint.{pair.id}"] = registration
-        change = await deployment.apply({"firm": firm})
+            firm_settings[f"endpoint.{pair.id}"] = registration
+        change = await deployment.apply({"firm": firm_settings})
         for number in range(len(deployment.entries)):
             await deployment.wait_revision(change["number"], number)
         yield relays
--- a/packages/standins/src/amaranthtally/standins/store.py
+++ b/packages/standins/src/amaranthtally/standins/store.py
@@ -9,7 +9,7 @@
 import msgspec
 from aiohttp import web
 
-__all__ = ["FakeStore", "Outage", "open_store_standin"]
+__all__ = ["FakeStore", "StoreFaults", "open_store_standin"]
 
 MS_PER_S = 1000.0
 PAGE = 50
@@ -23,17 +23,18 @@
 
 
 @dataclass(slots=True)
-class Outage:
+class StoreFaults:
     """
-    The faults that the store shows.
+    The faults that the store injects.
 
-    With ``down`` every call gets status 503; with ``silent_watches`` watches are not
-    answered in time; with ``lost_answers`` writes are made but not answered.
+    With ``unavailable`` every call gets status 503. With ``unanswered_watches`` a watch
+    gets no response until 60 s after its time-out. With ``lost_responses`` the store
+    applies each write and closes the connection without a response.
     """
 
-    down: bool = False
-    silent_watches: bool = False
-    lost_answers: bool = False
+    unavailable: bool = False
+    unanswered_watches: bool = False
+    lost_responses: bool = False
 
 
 @dataclass(slots=True)
@@ -41,10 +42,10 @@
     """The store's state, which tests read and write directly, as an operator would."""
 
     address: str = ""
-    outage: Outage = field(default_factory=Outage)
+    faults: StoreFaults = field(default_factory=StoreFaults)
     items: dict[str, _Item] = field(default_factory=dict)
     revision: int = 1
-    oldest: int = 1
+    compact_revision: int = 1
     calls: list[str] = field(default_factory=list)
     history: list[tuple[str, _Item | None, int]] = field(default_factory=list)
     leases: set[int] = field(default_factory=set)
@@ -72,7 +73,7 @@
     def compact_history(self) -> None:
         """Discard past changes; a watch from an earlier revision gets status 410."""
         self.history.clear()
-        self.oldest = self.revision
+        self.compact_revision = self.revision
 
     def _add_change(self, key: str, item: _Item | None) -> None:
         self.history.append((key, item, self.revision))
@@ -115,10 +116,10 @@
     @web.middleware
     async def inject_faults(self, request: web.Request, handler) -> web.StreamResponse:  # type: ignore[no-untyped-def]
         self._store.calls.append(f"{request.method} {request.path}")
-        if self._store.outage.down:
+        if self._store.faults.unavailable:
             return web.Response(status=503)
         answer: web.StreamResponse = await handler(request)
-        if self._store.outage.lost_answers and request.method != "GET":
+        if self._store.faults.lost_responses and request.method != "GET":
             assert request.transport is not None
             request.transport.close()
         return answer
@@ -145,9 +146,9 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + wait_s
         while True:
-            if self._store.outage.silent_watches:
+            if self._store.faults.unanswered_watches:
                 await asyncio.sleep(wait_s + 60.0)
-            if after < self._store.oldest:
+            if after < self._store.compact_revision:
                 return web.Response(status=410)
             events = [
                 _event(key, item, revision)
--- a/tests/gateway/fake_endpoint.py
+++ b/tests/gateway/fake_endpoint.py
@@ -50,12 +50,12 @@
         self.address = ""
         self.connections = 0
 
-    def record(self, pool, place="cluj-a", state="ready", slots=8, **others):
+    def record(self, pool, data_centre="cluj-a", state="ready", slots=8, **others):
         """Return the endpoint's record in the store."""
         record = {
             "service": pool,
             "address": self.address,
-            "zone": place,
+            "zone": data_centre,
             "version": "v1",
             "slots": slots,
             "state": state,
--- a/tests/gateway/support.py
+++ b/tests/gateway/support.py
@@ -133,16 +133,20 @@
     def configure(self, version, *routes, **options):
         self.store.put("op/config", configuration(version, *routes, **options))
 
-    async def gateway(self, name="gateway", place="cluj-a", store="", **options):
+    async def gateway(self, name="gateway", data_centre="cluj-a", store="", **options):
         """Start a gateway and wait until it is ready."""
-        gateway = await self.start_gateway(name, place, store, **options)
+        gateway = await self.start_gateway(name, data_centre, store, **options)
         await gateway.wait_until_ready()
         return gateway
 
-    async def start_gateway(self, name="gateway", place="cluj-a", store="", **options):
+    async def start_gateway(
+        self, name="gateway", data_centre="cluj-a", store="", **options
+    ):
         """Start a gateway without waiting for its readiness."""
         path = self._folder / f"{name}.toml"
-        path.write_text(tomli_w.dumps(self.settings(name, place, store) | options))
+        path.write_text(
+            tomli_w.dumps(self.settings(name, data_centre, store) | options)
+        )
         process = await start_process(
             name, "amaranthtally.daemon.main", "gateway", "--settings", path
         )
@@ -154,12 +158,12 @@
         """Reserve an address for as long as the cluster runs."""
         return f"{LOOPBACK}:{self._stack.enter_context(reserve_port())}"
 
-    def settings(self, name, place, store):
+    def settings(self, name, data_centre, store):
         return {
             "name": name,
             "host": "127.0.0.1",
-            "region": place,
-            "data_centre": place,
+            "region": data_centre,
+            "data_centre": data_centre,
             "caller_address": "127.0.0.1:0",
             "ready_address": "127.0.0.1:0",
             "peer_address": "127.0.0.1:0",
--- a/tests/gateway/test_configuration.py
+++ b/tests/gateway/test_configuration.py
@@ -122,7 +122,7 @@
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
-        cluster.store.outage.silent_watches = True
+        cluster.store.faults.unanswered_watches = True
         await asyncio.sleep(1.5)
         cluster.configure(2, route("job"), keys=("another",))
         cluster.store.compact_history()
@@ -137,11 +137,11 @@
         await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
-        cluster.store.outage.down = True
+        cluster.store.faults.unavailable = True
         await gateway.wait_for_event("store_lost")
         cluster.configure(2, route("job"), route("more", service="job"))
         cluster.store.compact_history()
-        cluster.store.outage.down = False
+        cluster.store.faults.unavailable = False
         await call_until_status(gateway, "/more/", 200)
 
     run_with_cluster(tmp_path, check)
@@ -204,10 +204,10 @@
         endpoint = await cluster.endpoint("e", "job", respond_with(b"job"))
         cluster.configure(1, route("job"))
         gateway = await cluster.gateway()
-        cluster.store.outage.down = True
+        cluster.store.faults.unavailable = True
         await gateway.wait_for_event("store_lost")
         cluster.store.remove("servers/e")
-        cluster.store.outage.down = False
+        cluster.store.faults.unavailable = False
         await gateway.wait_for_event("store_regained")
         assert (await gateway.call("/job/"))[0] == 200
         cluster.store.put("servers/e", endpoint.record("job"))
@@ -234,7 +234,7 @@
             for key, item in cluster.store.items.items():
                 failing_store.put(key, item.value)
             second = await cluster.gateway("second", store=failing_store.address)
-            failing_store.outage.down = True
+            failing_store.faults.unavailable = True
             await second.wait_for_event("store_lost")
             cluster.configure(2, route("job"), route("more", service="late"))
             cluster.store.put("servers/e", endpoint.record("late"))
@@ -326,7 +326,7 @@
         first = await cluster.gateway("first", peer_address=address)
         await old.wait_for_event("peer_connected", peer="first")
         first.process.send(signal.SIGKILL)
-        cluster.store.outage.down = True
+        cluster.store.faults.unavailable = True
         restarted = await cluster.start_gateway("first", peer_address=address)
         async with asyncio.timeout(8.0):
             await restarted.wait_until_ready()
--- a/tests/gateway/test_slow_links.py
+++ b/tests/gateway/test_slow_links.py
@@ -107,7 +107,7 @@
             relay = await open_relay(stack, record["address"], link)
             failing_store.put(name, {**record, "address": relay.address})
             second = await cluster.gateway("second", store=failing_store.address)
-            failing_store.outage.down = True
+            failing_store.faults.unavailable = True
             await second.wait_for_event("store_lost")
             cluster.store.put("op/config", document)
             await first.wait_for_event("configuration_in_force", version=2)
@@ -141,7 +141,7 @@
             await asyncio.sleep(2.5)
             fetches = [x for x in gateway.process.lines if "beliefs_from_peer" in x]
             assert not fetches
-            # The link carried the first, small listing and one large response.
-            assert link.carried < 1.5 * TRANSFER_S * link.bytes_per_s
+            # The link sent the first, small listing and one large response.
+            assert link.sent_bytes < 1.5 * TRANSFER_S * link.bytes_per_s
 
     run_with_cluster(tmp_path, check)
--- a/tests/lifecycle/test_planned_stops.py
+++ b/tests/lifecycle/test_planned_stops.py
@@ -8,8 +8,8 @@
 
 from amaranthtally.standins.chaos.balancer import Balancer
 from amaranthtally.standins.chaos.callers import Callers
+from amaranthtally.standins.chaos.chaos_run import ChaosRun
 from amaranthtally.standins.chaos.record_checks import check_records
-from amaranthtally.standins.chaos.world import World
 from amaranthtally.standins.deployment import open_deployment
 from tests.at_most_once.support import effects_deployment
 from tests.lifecycle.support import log_lines
@@ -38,21 +38,21 @@
     async def scenario():
         async with open_deployment(fast_plan(), entries=2, servers=2) as deployment:
             balancer = Balancer(deployment)
-            world = World(deployment, balancer, Random(1))
+            run = ChaosRun(deployment, balancer, Random(1))
             polling = asyncio.create_task(balancer.run())
-            callers = Callers(world, 1, TOKENS, kinds=("whole", "stream"))
-            restarts = asyncio.create_task(restart_all(world))
+            callers = Callers(run, 1, TOKENS, kinds=("whole", "stream"))
+            restarts = asyncio.create_task(restart_all(run))
             sent = 0
             while not restarts.done():
                 await callers.run_more(sent, CONCURRENT_CALLS, CONCURRENT_CALLS)
                 sent += CONCURRENT_CALLS
             await restarts
             polling.cancel()
-            assert world.violations == []
+            assert run.violations == []
             assert sent > CONCURRENT_CALLS
-            assert {name for name in world.counts if "refused" in name} == set()
-            whole_responses = world.counts["answered whole"]
-            assert whole_responses + world.counts["answered by stream"] == sent
+            assert {name for name in run.counts if "refused" in name} == set()
+            whole_responses = run.counts["answered whole"]
+            assert whole_responses + run.counts["answered by stream"] == sent
 
     run_async(scenario())
 
@@ -68,39 +68,39 @@
     async def scenario():
         async with effects_deployment() as deployment:
             balancer = Balancer(deployment)
-            world = World(deployment, balancer, Random(1))
+            run = ChaosRun(deployment, balancer, Random(1))
             polling = asyncio.create_task(balancer.run())
-            callers = Callers(world, 1, TOKENS, kinds=("effect",))
-            restarts = asyncio.create_task(restart_all(world))
+            callers = Callers(run, 1, TOKENS, kinds=("effect",))
+            restarts = asyncio.create_task(restart_all(run))
             sent = 0
             while not restarts.done():
                 await callers.run_more(sent, CONCURRENT_ORDERS, CONCURRENT_ORDERS)
                 sent += CONCURRENT_ORDERS
             await restarts
             await callers.repeat_until_known(CONCURRENT_ORDERS)
-            await check_records(world, callers)
+            await check_records(run, callers)
             polling.cancel()
-            assert world.violations == []
-            assert world.counts["effects recorded"] > CONCURRENT_ORDERS
+            assert run.violations == []
+            assert run.counts["effects recorded"] > CONCURRENT_ORDERS
 
     run_async(scenario())
 
 
-async def restart_all(world):
+async def restart_all(run):
     """Restart all processes: in turn a sidecar of each pool, then each entry."""
-    for number in range(len(world.deployment.pool("dispatch"))):
+    for number in range(len(run.deployment.pool("dispatch"))):
         await asyncio.gather(
             *(
-                world.stop_sidecar(world.deployment.pool(pool.name)[number])
-                for pool in world.deployment.plan.pools
+                run.stop_sidecar(run.deployment.pool(pool.name)[number])
+                for pool in run.deployment.plan.pools
             )
         )
-        for entry in world.deployment.entries:
+        for entry in run.deployment.entries:
             while has_unavailable_endpoint(entry):
                 await asyncio.sleep(0.05)
-    for number in range(len(world.deployment.entries)):
-        await world.stop_entry(number)
-        await world.balancer.wait_ready(number)
+    for number in range(len(run.deployment.entries)):
+        await run.stop_entry(number)
+        await run.balancer.wait_ready(number)
 
 
 def has_unavailable_endpoint(entry):
--- a/tests/lifecycle/test_random_run.py
+++ b/tests/lifecycle/test_random_run.py
@@ -17,6 +17,6 @@
     alone and in pairs; every response is checked, and the services count the effects.
     """
     chaos_run = run_chaos(plan(), SEED, REQUESTS, FAULTS)
-    world = asyncio.run(asyncio.wait_for(chaos_run, RUN_TIMEOUT_S))
-    assert world.violations == []
-    assert world.counts["sent"] >= REQUESTS
+    run = asyncio.run(asyncio.wait_for(chaos_run, RUN_TIMEOUT_S))
+    assert run.violations == []
+    assert run.counts["sent"] >= REQUESTS
--- a/tests/lifecycle/test_streams.py
+++ b/tests/lifecycle/test_streams.py
@@ -146,7 +146,7 @@
             text = (await complete.json())["output"]["text"]
             link = relays[deployment.pool("assessment")[0].id]
             for fault in LinkFault:
-                carried = link.carried
+                previous_bytes = link.forwarded_reply_bytes
                 calls = [
                     asyncio.create_task(
                         deployment.call(
@@ -155,7 +155,7 @@
                     )
                     for _ in range(STREAMS)
                 ]
-                while link.carried < carried + STREAM_BYTES:
+                while link.forwarded_reply_bytes < previous_bytes + STREAM_BYTES:
                     await asyncio.sleep(0.01)
                 link.fail(fault)
                 for response in await asyncio.gather(*calls):
--- a/tests/load/days.py
+++ b/tests/load/days.py
@@ -26,22 +26,22 @@
     )
 
 
-def share_on_time(world, *kinds, since=0.0):
+def share_on_time(simulation, *kinds, since=0.0):
     """Return the share of requests of these kinds that were answered on time."""
-    records = _records_of(world, kinds, since)
+    records = _records_of(simulation, kinds, since)
     return sum(record.ending is Ending.ON_TIME for record in records) / len(records)
 
 
-def share_served(world, *kinds):
+def share_served(simulation, *kinds):
     """Return the share of requests of these kinds that were answered at all."""
-    records = _records_of(world, kinds, 0.0)
+    records = _records_of(simulation, kinds, 0.0)
     served = (Ending.ON_TIME, Ending.LATE)
     return sum(record.ending in served for record in records) / len(records)
 
 
-def _records_of(world, kinds, since):
+def _records_of(simulation, kinds, since):
     return [
         record
-        for record in world.callers.records
+        for record in simulation.callers.records
         if record.kind in kinds and record.arrived_at > since
     ]
--- a/tests/load/test_stages_under_load.py
+++ b/tests/load/test_stages_under_load.py
@@ -37,9 +37,9 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_normal_load_is_served_on_time(seed):
     """Three lookups in ten were late at normal load, as calls held only one piece."""
-    world = simulate(day_of("fleet"), seed)
-    assert share_on_time(world, "claim") >= 0.9
-    assert share_on_time(world, "lookup") >= 0.9
+    simulation = simulate(day_of("fleet"), seed)
+    assert share_on_time(simulation, "claim") >= 0.9
+    assert share_on_time(simulation, "lookup") >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -59,16 +59,18 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_urgent_kind_is_served_first_if_not_all_can_be(seed):
     """In a burst, lookups were as late as replies, though they are the most urgent."""
-    world = simulate(day_of("fleet", burst("claim", 2.5), burst("lookup", 2.5)), seed)
-    assert share_on_time(world, "lookup") > share_on_time(world, "reply")
+    simulation = simulate(
+        day_of("fleet", burst("claim", 2.5), burst("lookup", 2.5)), seed
+    )
+    assert share_on_time(simulation, "lookup") > share_on_time(simulation, "reply")
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_callers_do_not_wait_long_for_a_refusal(seed):
     """Callers were refused after seven of eight seconds, though late after two."""
-    world = simulate(day_of("fleet", burst("", 3.0, 0.0, 20.0)), seed)
+    simulation = simulate(day_of("fleet", burst("", 3.0, 0.0, 20.0)), seed)
     held = sorted(
-        held_s for kind, held_s in world.callers.refusal_waits if kind == "claim"
+        held_s for kind, held_s in simulation.callers.refusal_waits if kind == "claim"
     )
     claim = next(one for one in DEPLOYMENTS["fleet"].kinds if one.name == "claim")
     assert held
@@ -79,15 +81,15 @@
 def test_service_recovers_soon_after_overload(seed):
     """Service stayed slow after a burst, as late work delayed the new requests."""
     bursts = (burst("claim", 3.0, 5.0, 5.0), burst("lookup", 3.0, 5.0, 5.0))
-    world = simulate(day_of("fleet", *bursts, seconds=30.0), seed)
-    assert share_on_time(world, "claim", "lookup", since=14.0) >= 0.85
+    simulation = simulate(day_of("fleet", *bursts, seconds=30.0), seed)
+    assert share_on_time(simulation, "claim", "lookup", since=14.0) >= 0.85
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_requests_larger_than_a_call_are_served_beside_small_ones(seed):
     """Large drafts were always refused, as no call had room for all their pieces."""
-    world = simulate(with_large_drafts(), seed)
-    assert share_served(world, "large") >= 0.5 * share_served(world, "draft")
+    simulation = simulate(with_large_drafts(), seed)
+    assert share_served(simulation, "large") >= 0.5 * share_served(simulation, "draft")
 
 
 def with_large_drafts():
@@ -109,16 +111,16 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_no_request_stays_in_a_queue_while_another_site_is_free(seed):
     """Every stage of a request ran where its first one did, after a wait of 1.2 s."""
-    world = simulate(day_of("tracker", burst("summary", 2.5)), seed)
-    assert share_on_time(world, "draft", "summary") >= 0.9
+    simulation = simulate(day_of("tracker", burst("summary", 2.5)), seed)
+    assert share_on_time(simulation, "draft", "summary") >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_an_endpoint_that_has_become_slow_gets_less(seed):
     """A third of requests were late, as the wait ignored how slow the endpoint is."""
     slow = Fault("slow", 0.0, 40.0, "ledger/iasi-a/0", 4.0)
-    world = simulate(day_of("tracker", slow), seed)
-    assert share_on_time(world, "draft", "summary") >= 0.9
+    simulation = simulate(day_of("tracker", slow), seed)
+    assert share_on_time(simulation, "draft", "summary") >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -129,21 +131,23 @@
 ):
     """Urgent requests were late during restarts, as owners and results are lost."""
     monkeypatch.setattr(faults, "START_S", start_s)
-    world = simulate(day_of(name, Fault("rolling_stop", 1.0, 12.0)), seed)
-    assert share_on_time(world, *URGENT[name]) >= 0.9
+    simulation = simulate(day_of(name, Fault("rolling_stop", 1.0, 12.0)), seed)
+    assert share_on_time(simulation, *URGENT[name]) >= 0.9
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("name", STAGED)
 def test_a_fleet_that_was_killed_serves_on_time_again(seed, name):
     """Ten seconds after a loss of power, answers were late due to old results."""
-    world = simulate(day_of(name, Fault("kill_all", 8.0, 1.5), seconds=30.0), seed)
-    assert share_on_time(world, *VALUABLE[name], since=18.0) >= 0.85
+    simulation = simulate(day_of(name, Fault("kill_all", 8.0, 1.5), seconds=30.0), seed)
+    assert share_on_time(simulation, *VALUABLE[name], since=18.0) >= 0.85
 
 
 def test_nobody_waits_through_most_of_their_time_to_be_refused():
     """Started requests were overtaken for seconds, and refused near the deadline."""
-    world = simulate(day_of("tracker", burst("", 3.0, 0.0, 20.0)), seed=1)
+    simulation = simulate(day_of("tracker", burst("", 3.0, 0.0, 20.0)), seed=1)
     deadlines = {kind.name: kind.deadline_s for kind in DEPLOYMENTS["tracker"].kinds}
-    held = [s for kind, s in world.callers.refusal_waits if s > 0.75 * deadlines[kind]]
+    held = [
+        s for kind, s in simulation.callers.refusal_waits if s > 0.75 * deadlines[kind]
+    ]
     assert held == []
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -13,7 +13,7 @@
 
 from tests.soak.callers import Callers
 from tests.soak.faults import FAULTS
-from tests.soak.world import DEFAULT_GATEWAYS, open_soak
+from tests.soak.soak_run import DEFAULT_GATEWAYS, open_soak
 
 AT_ONCE = 12
 # Faults of a whole process. A gateway has only one of them at a time, since most of
@@ -35,96 +35,94 @@
 async def run_soak(seed, seconds, folder, gateways=DEFAULT_GATEWAYS):
     """Run one seed; return the violations and the number of responses by status."""
     random = Random(seed)
-    async with open_soak(folder, gateways) as world:
-        callers = Callers(world, Random(random.random()))
+    async with open_soak(folder, gateways) as run:
+        callers = Callers(run, Random(random.random()))
         loop = asyncio.get_running_loop()
         calling = asyncio.create_task(callers.run(AT_ONCE, loop.time() + seconds))
-        await _inject_faults(world, random, loop.time() + seconds)
+        await _inject_faults(run, random, loop.time() + seconds)
         await calling
-        await _check_recovery(world, random)
-        check_records(world, callers)
-        return world.violations, callers.statuses
+        await _check_recovery(run, random)
+        check_records(run, callers)
+        return run.violations, callers.statuses
 
 
-async def _inject_faults(world, random, end_at):
+async def _inject_faults(run, random, end_at):
     tasks = []
     loop = asyncio.get_running_loop()
     while loop.time() < end_at:
         for _ in range(1 + (random.random() < SIMULTANEOUS_SHARE)):
-            tasks.append(asyncio.create_task(_inject(world, random)))
+            tasks.append(asyncio.create_task(_inject(run, random)))
         await asyncio.sleep(random.uniform(*INJECTION_INTERVAL_S))
     await asyncio.gather(*tasks)
 
 
-async def _inject(world, random):
+async def _inject(run, random):
     fault = FAULTS[random.choice(sorted(FAULTS))]
-    name = random.choice(world.names)
+    name = random.choice(run.names)
     is_process = fault.__name__ in PROCESS_FAULTS
-    if is_process and name in world.disturbed:
+    if is_process and name in run.disturbed:
         return
     if is_process:
-        world.disturbed.add(name)
+        run.disturbed.add(name)
     try:
-        await fault(world, random, name)
+        await fault(run, random, name)
     finally:
         if is_process:
-            world.disturbed.discard(name)
+            run.disturbed.discard(name)
 
 
-async def _check_recovery(world, random):
+async def _check_recovery(run, random):
     """Check that every gateway becomes ready without intervention, and serves."""
-    for script in world.scripts.values():
+    for script in run.scripts.values():
         script.inject_fault("", 0)
     try:
         async with asyncio.timeout(RECOVERY_TIMEOUT_S):
-            for gateway in world.gateways.values():
+            for gateway in run.gateways.values():
                 await gateway.wait_until_ready()
     except TimeoutError:
-        world.violations.append(
-            f"not ready {RECOVERY_TIMEOUT_S} s after the last fault"
-        )
+        run.violations.append(f"not ready {RECOVERY_TIMEOUT_S} s after the last fault")
         return
     await asyncio.sleep(RECOVERY_TIMEOUT_S / 2)
-    await _check_last_version(world, random)
-    final_callers = Callers(world, Random(random.random()), "last-")
+    await _check_last_version(run, random)
+    final_callers = Callers(run, Random(random.random()), "last-")
     await final_callers.run(AT_ONCE, asyncio.get_running_loop().time() + 1.0)
     served = final_callers.statuses.get(200, 0) / max(
         1, sum(final_callers.statuses.values())
     )
     if served < SERVED_SHARE:
-        world.violations.append(
+        run.violations.append(
             f"only {served:.2f} served after the recovery: {final_callers.statuses}"
         )
 
 
-async def _check_last_version(world, random):
+async def _check_last_version(run, random):
     """Check that a large version, written without active faults, is applied in time."""
-    version = world.write_larger_version(random)
+    version = run.write_larger_version(random)
 
     async def wait_until_applied(name):
         try:
             async with asyncio.timeout(APPLY_TIMEOUT_S):
-                gateway = world.gateways[name]
+                gateway = run.gateways[name]
                 await gateway.wait_for_event("configuration_in_force", version=version)
         except TimeoutError:
-            world.violations.append(
+            run.violations.append(
                 f"{name}: {version} not in force in {APPLY_TIMEOUT_S} s"
             )
 
-    await asyncio.gather(*(wait_until_applied(name) for name in world.names))
+    await asyncio.gather(*(wait_until_applied(name) for name in run.names))
 
 
-def check_records(world, callers):
+def check_records(run, callers):
     """Check the responses to callers against the records of the endpoints."""
-    runs = world.records.runs
+    runs = run.records.runs
     for request_id in callers.orders:
         if runs[request_id] > 1:
-            world.violations.append(f"{request_id}: ran {runs[request_id]} times")
+            run.violations.append(f"{request_id}: ran {runs[request_id]} times")
     for request_id in callers.not_run:
         if runs[request_id]:
-            world.violations.append(f"{request_id}: refused as not run, but ran")
-    for request_id, inputs in world.records.wrong_inputs:
-        world.violations.append(f"{request_id}: ran with wrong inputs {inputs}")
+            run.violations.append(f"{request_id}: refused as not run, but ran")
+    for request_id, inputs in run.records.wrong_inputs:
+        run.violations.append(f"{request_id}: ran with wrong inputs {inputs}")
 
 
 def main():
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -21,9 +21,9 @@
 class Callers:
     """Sends random requests from several concurrent callers."""
 
-    def __init__(self, world, random, prefix=""):
+    def __init__(self, run, random, prefix=""):
         self._prefix = prefix
-        self._world = world
+        self._soak_run = run
         self._random = random
         self._serial = 0
         self.orders = []
@@ -43,7 +43,7 @@
         self._serial += 1
         kind = self._random.choice(KINDS)
         request_id = f"{kind}-{self._prefix}{self._serial}"
-        gateway = self._world.gateways[self._random.choice(self._world.names)]
+        gateway = self._soak_run.gateways[self._random.choice(self._soak_run.names)]
         counts = ",".join(str(count) for count in PIECES)
         headers = {
             header_names.CHUNK_COUNTS: counts,
@@ -57,8 +57,8 @@
             status, signature, body = NO_ANSWER, "", b""
         except TimeoutError:
             has_ended = gateway.process.exit_code is not None
-            if not has_ended and gateway.process.name not in self._world.disturbed:
-                self._world.violations.append(f"{request_id}: never answered")
+            if not has_ended and gateway.process.name not in self._soak_run.disturbed:
+                self._soak_run.violations.append(f"{request_id}: never answered")
             return
         self.statuses[status] = self.statuses.get(status, 0) + 1
         self._check(kind, request_id, status, signature, body)
@@ -79,9 +79,11 @@
         if status in NOT_RUN_STATUSES:
             self.not_run.append(request_id)
         if status in (400, 401, 404, 413):
-            self._world.violations.append(f"{request_id}: rejected with {status}")
+            self._soak_run.violations.append(f"{request_id}: rejected with {status}")
         if status != 200:
             return
         expected_stream = b"".join(events_of(request_id)) if kind == "ask" else None
         if signature != SIGNATURE or body != (expected_stream or request_id.encode()):
-            self._world.violations.append(f"{request_id}: wrong response {body[:80]!r}")
+            self._soak_run.violations.append(
+                f"{request_id}: wrong response {body[:80]!r}"
+            )
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -24,24 +24,24 @@
 
 
 @fault
-async def kill(world, random, name):
-    world.gateways[name].process.send(signal.SIGKILL)
-    await world.gateways[name].process.wait()
+async def kill(run, random, name):
+    run.gateways[name].process.send(signal.SIGKILL)
+    await run.gateways[name].process.wait()
     await asyncio.sleep(random_duration_s(random))
-    await world.start_gateway(name)
+    await run.start_gateway(name)
 
 
 @fault
-async def planned_stop(world, random, name):
-    await world.stop_gateway(name)
-    await world.start_gateway(name)
+async def planned_stop(run, random, name):
+    await run.stop_gateway(name)
+    await run.start_gateway(name)
 
 
 @fault
-async def stop_among_signals(world, random, name):
+async def stop_among_signals(run, random, name):
     """Stop a gateway, and send it reloads, pauses and stops at random until it ends."""
-    stopping = asyncio.create_task(world.stop_gateway(name))
-    process = world.gateways[name].process
+    stopping = asyncio.create_task(run.stop_gateway(name))
+    process = run.gateways[name].process
     while not stopping.done():
         await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * random.random())
         signal_number = random.choice((signal.SIGHUP, signal.SIGTERM, signal.SIGSTOP))
@@ -50,81 +50,81 @@
             await asyncio.sleep(MAX_SIGNAL_INTERVAL_S * random.random())
             process.send(signal.SIGCONT)
     await stopping
-    await world.start_gateway(name)
+    await run.start_gateway(name)
 
 
 @fault
-async def pause(world, random, name):
-    world.gateways[name].process.send(signal.SIGSTOP)
+async def pause(run, random, name):
+    run.gateways[name].process.send(signal.SIGSTOP)
     await asyncio.sleep(random_duration_s(random))
-    world.gateways[name].process.send(signal.SIGCONT)
+    run.gateways[name].process.send(signal.SIGCONT)
 
 
 @fault
-async def reload(world, random, name):
-    world.gateways[name].process.send(signal.SIGHUP)
+async def reload(run, random, name):
+    run.gateways[name].process.send(signal.SIGHUP)
 
 
 @fault
-async def store_link(world, random, name):
-    relay = world.relays[name]
+async def store_link(run, random, name):
+    relay = run.relays[name]
     relay.fail(random.choice(list(LinkFault)))
     await asyncio.sleep(2.0 * random_duration_s(random))
     relay.clear_fault()
 
 
 @fault
-async def store_down(world, random, name):
-    await _store_fault(world, random, "down")
+async def store_down(run, random, name):
+    await _store_fault(run, random, "unavailable")
 
 
 @fault
-async def store_answers_lost(world, random, name):
-    await _store_fault(world, random, "lost_answers")
+async def store_answers_lost(run, random, name):
+    await _store_fault(run, random, "lost_responses")
 
 
 @fault
-async def store_silent(world, random, name):
-    await _store_fault(world, random, "silent_watches")
+async def store_silent(run, random, name):
+    await _store_fault(run, random, "unanswered_watches")
 
 
 @fault
-async def store_forgets(world, random, name):
-    world.store.compact_history()
+async def store_forgets(run, random, name):
+    run.store.compact_history()
 
 
 @fault
-async def lease_lapses(world, random, name):
-    world.store.remove(f"entries/{name}")
+async def lease_lapses(run, random, name):
+    run.store.remove(f"entries/{name}")
 
 
 @fault
-async def new_version(world, random, name):
-    world.configure()
+async def new_version(run, random, name):
+    run.configure()
 
 
 @fault
-async def large_version(world, random, name):
-    world.write_larger_version(random)
+async def large_version(run, random, name):
+    run.write_larger_version(random)
 
 
 @fault
-async def endpoint_fails(world, random, name):
-    script = world.scripts[random.choice(sorted(world.scripts))]
+async def endpoint_fails(run, random, name):
+    script = run.scripts[random.choice(sorted(run.scripts))]
     script.inject_fault(random.choice(ENDPOINT_FAULTS), random.randint(1, 4))
 
 
 @fault
-async def endpoint_leaves(world, random, name):
-    endpoint = random.choice(sorted(world.endpoints))
-    world.register(endpoint, state="draining")
+async def endpoint_leaves(run, random, name):
+    endpoint = random.choice(sorted(run.endpoints))
+    run.register(endpoint, state="draining")
     await asyncio.sleep(random_duration_s(random))
-    world.store.remove(f"servers/{endpoint}")
+    run.store.remove(f"servers/{endpoint}")
     await asyncio.sleep(random_duration_s(random))
-    world.register(endpoint)
+    run.register(endpoint)
 
 
-async def _store_fault(world, random, kind):
-    setattr(world.store.outage, kind, True)
+async def _store_fault(run, random, kind):
+    setattr(run.store.faults, kind, True)
     await asyncio.sleep(random_duration_s(random))
-    setattr(world.store.outage, kind, False)
+    setattr(run.store.faults, kind, False)
--- a/tests/soak/world.py
+++ b/tests/soak/soak_run.py
@@ -45,7 +45,7 @@
 LOG_LINES = 40
 
 
-class SoakWorld:
+class SoakRun:
     """The processes and endpoints of a soak run, and the violations found.
 
     ``disturbed`` names the gateways on which a process fault is acting.
@@ -88,14 +88,16 @@
         for gateway in self.gateways.values():
             await gateway.wait_until_ready()
 
-    async def _start_endpoint(self, name, pool, kind, place):
+    async def _start_endpoint(self, name, pool, kind, data_centre):
         script = self.scripts[name] = EndpointScript(self.records, kind)
-        endpoint = await self.cluster.endpoint(name, pool, script, place=place)
-        self.endpoints[name] = (endpoint, pool, place)
+        endpoint = await self.cluster.endpoint(
+            name, pool, script, data_centre=data_centre
+        )
+        self.endpoints[name] = (endpoint, pool, data_centre)
 
     def register(self, name, **record):
-        endpoint, pool, place = self.endpoints[name]
-        self.store.put(f"servers/{name}", endpoint.record(pool, place, **record))
+        endpoint, pool, data_centre = self.endpoints[name]
+        self.store.put(f"servers/{name}", endpoint.record(pool, data_centre, **record))
 
     def configure(self):
         """Write a new version; return its number."""
@@ -152,6 +154,6 @@
 async def open_soak(folder, gateways=DEFAULT_GATEWAYS):
     """Yield a soak world with every gateway ready; stop everything on exit."""
     async with open_gateway_cluster(folder) as cluster, AsyncExitStack() as stack:
-        soak = SoakWorld(cluster, stack, gateways)
+        soak = SoakRun(cluster, stack, gateways)
         await soak.start()
         yield soak
--- a/tests/unit/test_link_rate.py
+++ b/tests/unit/test_link_rate.py
@@ -13,11 +13,11 @@
     """Return the seconds that a link takes for ``CHUNKS`` chunks after idling."""
 
     async def send():
-        await link.carry(RATE_LIMITED_CHUNK_BYTES)
+        await link.throttle(RATE_LIMITED_CHUNK_BYTES)
         await asyncio.sleep(idle_s)
         started_at = asyncio.get_running_loop().time()
         for _ in range(CHUNKS):
-            await link.carry(RATE_LIMITED_CHUNK_BYTES)
+            await link.throttle(RATE_LIMITED_CHUNK_BYTES)
         return asyncio.get_running_loop().time() - started_at
 
     return asyncio.run(send())
