--- a/packages/standins/src/amaranthtally/standins/chaos/chaos_run.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/chaos_run.py
@@ -102,7 +102,7 @@
 
     # Restarts
 
-    async def stop_sidecar(self, pair: EndpointPair) -> None:
+    async def restart_sidecar(self, pair: EndpointPair) -> None:
         """Stop a sidecar gracefully and start it again."""
         await self._stop(pair.sidecar)
         await self.start_sidecar(pair)
@@ -111,7 +111,7 @@
         """Start a sidecar again at its address."""
         pair.sidecar = await self._start("sidecar", pair.id, pair.sidecar_file)
 
-    async def stop_entry(self, number: int) -> None:
+    async def restart_entry(self, number: int) -> None:
         """Stop an entry gracefully and start it again."""
         await self._stop(self.deployment.entries[number])
         await self.start_entry(number)
--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -71,7 +71,7 @@
 @_fault
 async def _stop_sidecar(run: ChaosRun) -> None:
     async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
-        await run.stop_sidecar(run.pair(name))
+        await run.restart_sidecar(run.pair(name))
 
 
 # Links between entries and sidecars
@@ -194,7 +194,7 @@
 async def _stop_entry(run: ChaosRun) -> None:
     async with run.reserve_target(run.entries()) as name:
         number = run.entries().index(name)
-        await run.stop_entry(number)
+        await run.restart_entry(number)
         await run.balancer.wait_ready(number)
 
 
--- a/tests/lifecycle/test_planned_stops.py
+++ b/tests/lifecycle/test_planned_stops.py
@@ -91,7 +91,7 @@
     for number in range(len(run.deployment.pool("dispatch"))):
         await asyncio.gather(
             *(
-                run.stop_sidecar(run.deployment.pool(pool.name)[number])
+                run.restart_sidecar(run.deployment.pool(pool.name)[number])
                 for pool in run.deployment.plan.pools
             )
         )
@@ -99,7 +99,7 @@
             while has_unavailable_endpoint(entry):
                 await asyncio.sleep(0.05)
     for number in range(len(run.deployment.entries)):
-        await run.stop_entry(number)
+        await run.restart_entry(number)
         await run.balancer.wait_ready(number)
 
 
