--- a/packages/standins/src/amaranthtally/standins/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/__main__.py
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Run the stand-in until SIGTERM or SIGINT."""
+    """Run the stand-in until SIGTERM or SIGINT; return the exit code."""
     parser = argparse.ArgumentParser(prog="standins", description=__doc__)
     parser.add_argument("kind", choices=standin_kinds())
     parser.add_argument("--listen", default="127.0.0.1:0", metavar="IP:PORT")
--- a/packages/standins/src/amaranthtally/standins/chaos/__main__.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/__main__.py
@@ -32,11 +32,13 @@
 
 __all__ = ["main", "run_chaos"]
 
-TOKENS_PER_ANSWER = 8
+TOKENS_PER_RESPONSE = 8
 SERVERS = 3
 ENTRIES = 3
-AT_ONCE = 24
+CONCURRENCY = 24
+# Time between the end of the last fault and the check of the records, in seconds.
 SETTLE_S = 3.0
+# Probability that two faults are injected together.
 SIMULTANEOUS_SHARE = 0.4
 PLAN = Path("examples/agrosalv.toml")
 
@@ -48,7 +50,7 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--requests", type=int, default=1000)
     parser.add_argument("--faults", type=int, default=10)
-    parser.add_argument("--at-once", type=int, default=AT_ONCE)
+    parser.add_argument("--at-once", type=int, default=CONCURRENCY)
     parser.add_argument("--only", nargs="*", choices=fault_names(), help="faults")
     arguments = parser.parse_args()
     started = time.monotonic()
@@ -77,10 +79,14 @@
     seed: int,
     requests: int,
     faults: int,
-    at_once: int = AT_ONCE,
+    concurrency: int = CONCURRENCY,
     names: list[str] | None = None,
 ) -> ChaosRun:
-    """Run one seed; the returned world holds the counts and the violations."""
+    """
+    Run one seed; return the run with its counts and violations.
+
+    ``names`` limits the kinds of faults; by default all kinds are injected.
+    """
     async with (
         open_deployment(_with_fast_endpoints(plan), ENTRIES, SERVERS) as deployment,
         open_relays(deployment, EFFECT_POOL, ENGINE_POOL) as relays,
@@ -88,17 +94,17 @@
         balancer = Balancer(deployment)
         run = ChaosRun(deployment, balancer, Random(seed), relays)
         polling = asyncio.create_task(balancer.run())
-        callers = Callers(run, seed, TOKENS_PER_ANSWER)
+        callers = Callers(run, seed, TOKENS_PER_RESPONSE)
         injecting = asyncio.create_task(
             _inject_all(run, faults, names or fault_names())
         )
-        await callers.run(requests, at_once)
-        # Keep sending until the last fault has been undone, so that every fault occurs
+        await callers.run(requests, concurrency)
+        # Send requests until the last fault has been undone, so that every fault occurs
         # under load.
         number = requests
         while not injecting.done():
-            await callers.run_more(number, at_once, at_once)
-            number += at_once
+            await callers.run_more(number, concurrency, concurrency)
+            number += concurrency
         await injecting
         await asyncio.sleep(SETTLE_S)
         await check_records(run, callers)
@@ -120,11 +126,15 @@
 
 
 def _with_fast_endpoints(plan: DeploymentPlan) -> DeploymentPlan:
-    """Return the plan with short token and service times."""
+    """Return the plan with endpoints that have short token and service times."""
     pools = [
         msgspec.structs.replace(
             pool,
-            knobs={"tokens": TOKENS_PER_ANSWER, "token_time": 0.004, "service": 0.002},
+            knobs={
+                "tokens": TOKENS_PER_RESPONSE,
+                "token_time": 0.004,
+                "service": 0.002,
+            },
         )
         for pool in plan.pools
     ]
--- a/packages/standins/src/amaranthtally/standins/chaos/chaos_run.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/chaos_run.py
@@ -1,4 +1,4 @@
-"""The shared state of a randomised run; stops, freezes and restarts its processes."""
+"""State of a randomised run, with methods that freeze and restart its processes."""
 
 import asyncio
 import signal
@@ -20,9 +20,10 @@
 @dataclass(slots=True)
 class EntryDisruption:
     """
-    The time during which an entry was killed or frozen, in loop time.
+    The period in which an entry was killed or frozen, in the event loop's time.
 
-    Connections of its callers may break in this time without a violation.
+    A connection to the entry that breaks in this period is not a violation. ``end`` is
+    infinite while the disruption lasts.
     """
 
     number: int
@@ -35,7 +36,7 @@
     """
     The deployment under test, with the counts and violations of the run.
 
-    ``busy`` names the processes on which a fault is acting.
+    ``reserved`` holds the targets of the faults that are in progress.
     """
 
     deployment: Deployment
@@ -45,7 +46,7 @@
     violations: list[str] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
     disruptions: list[EntryDisruption] = field(default_factory=list)
-    busy: set[str] = field(default_factory=set)
+    reserved: set[str] = field(default_factory=set)
 
     def add_violation(self, text: str) -> None:
         """Record that a guarantee of the system was violated."""
@@ -54,8 +55,8 @@
     def was_disrupted(self, number: int, start: float, end: float) -> bool:
         """Whether an entry was killed or frozen between ``start`` and ``end``."""
         return any(
-            h.number == number and h.start <= end and h.end >= start
-            for h in self.disruptions
+            d.number == number and d.start <= end and d.end >= start
+            for d in self.disruptions
         )
 
     # Targets of faults
@@ -69,34 +70,34 @@
         them, rounded up, have a fault at the same time.
         """
         while True:
-            free = [name for name in names if name not in self.busy]
+            free = [name for name in names if name not in self.reserved]
             if 2 * len(free) > len(names):
                 break
             await asyncio.sleep(0.05)
         name = self.random.choice(free)
-        self.busy.add(name)
+        self.reserved.add(name)
         try:
             yield name
         finally:
-            self.busy.discard(name)
+            self.reserved.discard(name)
 
-    def endpoints(self, *kinds: str) -> list[str]:
-        """Return the endpoints of a random pool of the given kinds."""
+    def random_pool_endpoints(self, *kinds: str) -> list[str]:
+        """Return the endpoint ids of a random pool of one of the given kinds."""
         pools = [p.name for p in self.deployment.plan.pools if p.kind in kinds]
         pool = self.random.choice(pools)
         return [pair.id for pair in self.deployment.pool(pool)]
 
-    def linked_endpoints(self) -> list[str]:
-        """Return the endpoints behind relays of a random pool."""
+    def random_relayed_endpoints(self) -> list[str]:
+        """Return the ids of a random pool's endpoints that are behind relays."""
         pools = sorted({self.pair(name).pool for name in self.relays})
         pool = self.random.choice(pools)
         return [name for name in self.relays if self.pair(name).pool == pool]
 
     def pair(self, name: str) -> EndpointPair:
-        """Return an endpoint and its sidecar by the endpoint's id."""
+        """Return the endpoint with this id and its sidecar."""
         return self.deployment.endpoints[name]
 
-    def entries(self) -> list[str]:
+    def entry_names(self) -> list[str]:
         """Return the entries' names."""
         return [f"entry-{n + 1}" for n in range(len(self.deployment.entries))]
 
@@ -108,7 +109,7 @@
         await self.start_sidecar(pair)
 
     async def start_sidecar(self, pair: EndpointPair) -> None:
-        """Start a sidecar again at its address."""
+        """Start an ended sidecar at its former address; wait until it listens."""
         pair.sidecar = await self._start("sidecar", pair.id, pair.sidecar_file)
 
     async def restart_entry(self, number: int) -> None:
@@ -117,13 +118,13 @@
         await self.start_entry(number)
 
     async def start_entry(self, number: int) -> None:
-        """Start an entry again at its address and wait until it listens."""
+        """Start an ended entry at its former address; wait until it listens."""
         file = self.deployment.entry_files[number]
         started = await self._start("entry", f"entry-{number + 1}", file)
         self.deployment.entries[number] = started
 
     async def freeze(self, process: Process, seconds: float) -> None:
-        """Suspend a process with SIGSTOP for some seconds."""
+        """Suspend a process with SIGSTOP, and resume it after ``seconds``."""
         process.send(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         process.send(signal.SIGCONT)
--- a/packages/standins/src/amaranthtally/standins/chaos/faults.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/faults.py
@@ -16,8 +16,10 @@
 
 Fault = Callable[[ChaosRun], Awaitable[None]]
 _FAULTS: dict[str, Fault] = {}
-SHORT_S = 0.3
-LONG_S = 2.5
+# Shortest and longest duration of a fault, in seconds.
+MIN_FAULT_S = 0.3
+MAX_FAULT_S = 2.5
+# Kinds of endpoints whose calls have no recorded effect and may be repeated.
 REPEATABLE_KINDS = ("encoder", "retriever", "reranker", "engine")
 ALL_KINDS = (*REPEATABLE_KINDS, "plain")
 
@@ -28,7 +30,7 @@
 
 
 async def inject(run: ChaosRun, name: str) -> None:
-    """Cause a fault and undo it; return once it is undone."""
+    """Inject a fault, undo it, and return once it is undone."""
     run.counts[f"fault {name}"] += 1
     await _FAULTS[name](run)
 
@@ -39,7 +41,7 @@
 
 
 def _random_duration_s(run: ChaosRun) -> float:
-    return run.random.uniform(SHORT_S, LONG_S)
+    return run.random.uniform(MIN_FAULT_S, MAX_FAULT_S)
 
 
 async def _with_knobs(
@@ -55,22 +57,22 @@
 
 @_fault
 async def _kill_sidecar(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         pair = run.pair(name)
         await pair.sidecar.kill()
-        await asyncio.sleep(SHORT_S)
+        await asyncio.sleep(MIN_FAULT_S)
         await run.start_sidecar(pair)
 
 
 @_fault
 async def _freeze_sidecar(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         await run.freeze(run.pair(name).sidecar, _random_duration_s(run))
 
 
 @_fault
 async def _stop_sidecar(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         await run.restart_sidecar(run.pair(name))
 
 
@@ -78,7 +80,7 @@
 
 
 async def _fail_link(run: ChaosRun, fault: LinkFault) -> None:
-    async with run.reserve_target(run.linked_endpoints()) as name:
+    async with run.reserve_target(run.random_relayed_endpoints()) as name:
         relay = run.relays[name]
         relay.fail(fault)
         await asyncio.sleep(_random_duration_s(run))
@@ -102,7 +104,7 @@
 
 @_fault
 async def _link_loses_answers(run: ChaosRun) -> None:
-    await _fail_link(run, LinkFault.ANSWERS_LOST)
+    await _fail_link(run, LinkFault.REPLIES_LOST)
 
 
 # Endpoints
@@ -110,13 +112,13 @@
 
 @_fault
 async def _freeze_endpoint(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         await run.freeze(run.pair(name).service, _random_duration_s(run))
 
 
 @_fault
 async def _cut_streams(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints("engine")) as name:
+    async with run.reserve_target(run.random_pool_endpoints("engine")) as name:
         cut = {"cut_after_tokens": run.random.randint(1, 4)}
         normal_knobs = {"cut_after_tokens": 0}
         await _with_knobs(run, run.pair(name).service, cut, normal_knobs)
@@ -124,21 +126,21 @@
 
 @_fault
 async def _fail_calls(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         service = run.pair(name).service
         await _with_knobs(run, service, {"fail_rate": 0.5}, {"fail_rate": 0.0})
 
 
 @_fault
 async def _slow_endpoint(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*ALL_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*ALL_KINDS)) as name:
         service = run.pair(name).service
         await _with_knobs(run, service, {"slow": 0.5}, {"slow": 0.0})
 
 
 @_fault
 async def _stuck_after_effect(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints("plain")) as name:
+    async with run.reserve_target(run.random_pool_endpoints("plain")) as name:
         service = run.pair(name).service
         await _with_knobs(run, service, {"stuck_after": True}, {"stuck_after": False})
 
@@ -172,8 +174,8 @@
 
 @_fault
 async def _kill_entry(run: ChaosRun) -> None:
-    async with run.reserve_target(run.entries()) as name:
-        number = run.entries().index(name)
+    async with run.reserve_target(run.entry_names()) as name:
+        number = run.entry_names().index(name)
         disruption = _start_disruption(run, number)
         await run.deployment.entries[number].kill()
         await run.start_entry(number)
@@ -183,8 +185,8 @@
 
 @_fault
 async def _freeze_entry(run: ChaosRun) -> None:
-    async with run.reserve_target(run.entries()) as name:
-        number = run.entries().index(name)
+    async with run.reserve_target(run.entry_names()) as name:
+        number = run.entry_names().index(name)
         disruption = _start_disruption(run, number)
         await run.freeze(run.deployment.entries[number], _random_duration_s(run))
         disruption.end = asyncio.get_running_loop().time()
@@ -192,8 +194,8 @@
 
 @_fault
 async def _stop_entry(run: ChaosRun) -> None:
-    async with run.reserve_target(run.entries()) as name:
-        number = run.entries().index(name)
+    async with run.reserve_target(run.entry_names()) as name:
+        number = run.entry_names().index(name)
         await run.restart_entry(number)
         await run.balancer.wait_ready(number)
 
@@ -221,20 +223,21 @@
 
 @_fault
 async def _drain_host(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*REPEATABLE_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*REPEATABLE_KINDS)) as name:
         host = run.pair(name).host
         for drained in (True, False):
-            while not await _commit_anywhere(run, {f"drain.{host}": drained}):
-                await asyncio.sleep(SHORT_S)
-            await asyncio.sleep(SHORT_S)
+            while not await _commit_at_random_entry(run, {f"drain.{host}": drained}):
+                await asyncio.sleep(MIN_FAULT_S)
+            await asyncio.sleep(MIN_FAULT_S)
 
 
-async def _commit_anywhere(run: ChaosRun, firm_settings: dict[str, Any]) -> int:
+async def _commit_at_random_entry(run: ChaosRun, firm_settings: dict[str, Any]) -> int:
     number = await run.balancer.pick(run.random)
     return await _commit(run, number, {"firm": firm_settings})
 
 
 async def _commit(run: ChaosRun, entry: int, tree: dict[str, dict[str, Any]]) -> int:
+    """Return the number of the committed change, or 0 if the commit failed."""
     ops = [
         {"scope": scope, "key": key, "value": value}
         for scope, table in tree.items()
@@ -254,19 +257,19 @@
 
 
 # A killed stand-in loses its records. The checks need the records of plain services,
-# which list every effect, so plain services are frozen, made to fail or made to hang,
-# but never killed.
+# which list every effect, so this fault never kills plain services. Other faults freeze
+# them or make their calls fail or hang.
 
 
 @_fault
 async def _kill_endpoint(run: ChaosRun) -> None:
-    async with run.reserve_target(run.endpoints(*REPEATABLE_KINDS)) as name:
+    async with run.reserve_target(run.random_pool_endpoints(*REPEATABLE_KINDS)) as name:
         pair = run.pair(name)
         port = pair.service.ports["port"]
         pool = next(p for p in run.deployment.plan.pools if p.name == pair.pool)
         pair.service.send(signal.SIGKILL)
         await pair.service.wait()
-        await asyncio.sleep(SHORT_S)
+        await asyncio.sleep(MIN_FAULT_S)
         pair.service = await run.deployment.start_standin_at(
             pair.id, pool.kind, port, pool.knobs
         )
--- a/packages/standins/src/amaranthtally/standins/chaos/record_checks.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/record_checks.py
@@ -1,4 +1,4 @@
-"""Checks the answers of a randomised run against the records of the stand-ins."""
+"""Checks the responses of a randomised run against the records of the stand-ins."""
 
 from collections import defaultdict
 
@@ -12,7 +12,7 @@
 
 
 async def check_records(run: ChaosRun, callers: Callers) -> None:
-    """Add a violation for each answer that contradicts the records."""
+    """Add a violation for each response that contradicts the records."""
     await _check_effects(run, callers)
     await _check_not_run(run, callers)
 
@@ -23,18 +23,18 @@
         for record in await run.deployment.records(pair.service):
             key = record["input"]["to"]
             recorded_orders[key].append(f"{pair.service.name}-{record['number']}")
-    for effect in callers.effects:
-        orders = recorded_orders[effect.key]
-        answered = set(effect.orders)
+    for outcomes in callers.key_outcomes:
+        orders = recorded_orders[outcomes.key]
+        confirmed = set(outcomes.orders)
         if len(orders) > 1:
-            run.add_violation(f"{effect.key} has {len(orders)} effects: {orders}")
-        if not answered <= set(orders):
+            run.add_violation(f"{outcomes.key} has {len(orders)} effects: {orders}")
+        if not confirmed <= set(orders):
             run.add_violation(
-                f"{effect.key} was answered {answered}, recorded {orders}"
+                f"{outcomes.key} got responses for {confirmed}, recorded {orders}"
             )
-        if orders and not answered and not effect.unknown:
+        if orders and not confirmed and not outcomes.unknown:
             run.add_violation(
-                f"{effect.key} has an effect, but every answer was not_run"
+                f"{outcomes.key} has an effect, but every response was not_run"
             )
     run.counts["effects recorded"] = sum(
         len(orders) for orders in recorded_orders.values()
@@ -45,8 +45,9 @@
     run_ids = set()
     for pair in run.deployment.pool(ENGINE_POOL):
         run_ids |= {
-            r.get("request_id") for r in await run.deployment.records(pair.service)
+            record.get("request_id")
+            for record in await run.deployment.records(pair.service)
         }
     for request_id in callers.not_run_ids:
         if request_id in run_ids:
-            run.add_violation(f"{request_id} was answered not_run but has run")
+            run.add_violation(f"{request_id} got the outcome not_run, but was run")
--- a/packages/standins/src/amaranthtally/standins/deployment.py
+++ b/packages/standins/src/amaranthtally/standins/deployment.py
@@ -1,7 +1,7 @@
 """
 Start a deployment of real processes on loopback, as a TOML plan describes it.
 
-For tests, the bench and the quickstart. The production code starts no processes.
+Used by the tests, the bench and the quickstart. Production code starts no processes.
 """
 
 import asyncio
@@ -122,7 +122,7 @@
         """Reserve an address for as long as the deployment runs."""
         return f"{LOOPBACK}:{self._stack.enter_context(reserve_port())}"
 
-    # Starting
+    # Start of processes
 
     async def start_platform(self, *knobs: str) -> None:
         """Start the platform stand-in."""
@@ -150,7 +150,7 @@
         return process
 
     async def start_daemon(self, role: str, name: str, file: Path) -> Process:
-        """Start a daemon that ends with the deployment."""
+        """Start a daemon that ends with the deployment; wait until it listens."""
         process = await start_process(name, DAEMON, role, "--settings", file)
         self._stack.push_async_callback(process.kill)
         return process
@@ -162,7 +162,7 @@
         return process
 
     async def start_endpoints(self, servers: int | None, **overrides: Any) -> None:
-        """Start the endpoints of all pools concurrently, kept in the plan's order."""
+        """Start the endpoints of all pools concurrently, in the plan's order."""
         starts = [
             self.start_endpoint(pool, number, **overrides)
             for pool in self.plan.pools
@@ -235,7 +235,7 @@
         return process
 
     def write_settings(self, name: str, settings: dict[str, Any]) -> Path:
-        """Write a process's TOML file."""
+        """Write the TOML file with a process's settings; return its path."""
         path = self.folder / f"{name}.toml"
         path.write_text(tomli_w.dumps(settings), encoding="utf-8")
         return path
@@ -243,10 +243,12 @@
     # Settings
 
     def initial_settings(self) -> dict[str, dict[str, Any]]:
-        """Return the initial tree: the plan's settings, accounts and endpoints."""
+        """Return the initial settings: the plan's settings, accounts and endpoints."""
         from hashlib import sha256
 
-        tree: dict[str, dict[str, Any]] = {k: dict(v) for k, v in self._flat().items()}
+        tree: dict[str, dict[str, Any]] = {
+            k: dict(v) for k, v in self._flat_settings().items()
+        }
         firm_settings = tree.setdefault("firm", {})
         for pair in self.endpoints.values():
             firm_settings[f"endpoint.{pair.id}"] = pair.registration()
@@ -255,7 +257,7 @@
             scope["key_sha256"] = sha256(account.key.encode()).hexdigest()
         return tree
 
-    def _flat(self) -> dict[str, dict[str, Any]]:
+    def _flat_settings(self) -> dict[str, dict[str, Any]]:
         return {scope: _flatten(table) for scope, table in self.plan.settings.items()}
 
     async def apply(
@@ -277,7 +279,7 @@
             return change
 
     async def set_knobs(self, process: Process, **knobs: Any) -> None:
-        """Set fault knobs of a running stand-in."""
+        """Set knobs of a running stand-in."""
         url = f"http://127.0.0.1:{process.ports['port']}/_knobs"
         async with self.http.post(url, json=knobs) as response:
             response.raise_for_status()
@@ -311,7 +313,7 @@
                         return
                 await asyncio.sleep(READY_POLL_S)
 
-    # Calling
+    # Calls
 
     async def call(
         self,
--- a/packages/standins/src/amaranthtally/standins/engine.py
+++ b/packages/standins/src/amaranthtally/standins/engine.py
@@ -19,6 +19,7 @@
 
 __all__ = ["EngineStandIn"]
 
+# Size of a block of the prefix cache, in characters of the prompt.
 BLOCK_CHARS = 64
 EVENT_POLL_S = 0.05
 WORDS = (
@@ -40,6 +41,8 @@
 
 
 class _Order(msgspec.Struct):
+    """An order to load or unload a model, or to change the engine's role."""
+
     fencing: int
     action: str = "load"
     model: str = ""
@@ -49,14 +52,14 @@
 
     @property
     def name(self) -> str:
-        """The model name by which calls select what this order loads."""
+        """The name by which calls select the model that this order loads."""
         adapter = f"+{self.adapter}" if self.adapter else ""
         version = f"@{self.version}" if self.version else ""
         return self.model + adapter + version
 
 
 def words_for(prompt: str, count: int) -> list[str]:
-    """Return the first ``count`` words that every engine generates for a prompt."""
+    """Return the first ``count`` words that any engine generates for a prompt."""
     seed = sha256(prompt.encode()).digest()
     return [WORDS[(seed[i % len(seed)] + i) % len(WORDS)] + " " for i in range(count)]
 
@@ -101,8 +104,8 @@
         app.router.add_get("/v1/cache/events", self._read_events)
         app.router.add_get("/v1/cache/blocks/{block}", self._export_block)
         app.router.add_put("/v1/cache/blocks/{block}", self._import_block)
-        app.router.add_put("/v1/weights/{model}", self._take_weights)
-        app.router.add_post("/v1/orders", self._take_order)
+        app.router.add_put("/v1/weights/{model}", self._receive_weights)
+        app.router.add_post("/v1/orders", self._receive_order)
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         completion = msgspec.json.decode(await request.read(), type=_Completion)
@@ -166,7 +169,11 @@
             request.transport.abort()
 
     def _serves(self, model: str) -> bool:
-        """Whether the engine serves a model; until its first order it serves any."""
+        """
+        Whether the engine serves completions of a model.
+
+        Before its first order it serves every model; with the role ``prefill``, none.
+        """
         if self._role == "prefill":
             return False
         return not model or not self._fencing or model in self._models
@@ -177,8 +184,8 @@
 
     # Load, reported with a delay of ``load_lag``
 
-    def _add_load(self, step: int) -> None:
-        self._running += step
+    def _add_load(self, change: int) -> None:
+        self._running += change
         self._loads.append((time.monotonic(), self._running))
 
     async def _read_load(self, _: web.Request) -> web.Response:
@@ -192,7 +199,7 @@
             }
         )
 
-    # Prefix cache; events are delayed by ``event_lag``, every ``event_gap``-th is lost
+    # Prefix cache; ``event_lag`` delays its events; every ``event_gap``-th is dropped
 
     def _use_cache(self, prompt: str, salt: str) -> int:
         hits = 0
@@ -208,8 +215,8 @@
         self._cache[block] = None
         self._publish("stored", block)
         while len(self._cache) > self.knobs.cache_blocks:
-            old, _ = self._cache.popitem(last=False)
-            self._publish("removed", old)
+            evicted, _ = self._cache.popitem(last=False)
+            self._publish("removed", evicted)
 
     def _publish(self, kind: str, block: str) -> None:
         self._event_serial += 1
@@ -219,7 +226,7 @@
         self._events.append((time.monotonic(), self._event_serial, kind, block))
 
     async def _read_events(self, request: web.Request) -> web.Response:
-        """Return the events after a serial; wait up to ``wait`` s for the first."""
+        """Return the events after a serial; wait up to ``wait`` s for the first one."""
         same_epoch = request.query.get("epoch", "") == self._epoch
         after = int(request.query.get("after", "0")) if same_epoch else 0
         wait_until = time.monotonic() + float(request.query.get("wait", "0"))
@@ -248,14 +255,14 @@
 
     # Orders
 
-    async def _take_weights(self, request: web.Request) -> web.Response:
+    async def _receive_weights(self, request: web.Request) -> web.Response:
         size = 0
         async for chunk in request.content.iter_any():
             size += len(chunk)
         self.records.append({"weights": request.match_info["model"], "bytes": size})
         return web.Response(text="ok\n")
 
-    async def _take_order(self, request: web.Request) -> web.Response:
+    async def _receive_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=_Order)
         if self.knobs.fencing and order.fencing < self._fencing:
             return json_response({"error": "old fencing number"}, 409)
--- a/packages/standins/src/amaranthtally/standins/plain.py
+++ b/packages/standins/src/amaranthtally/standins/plain.py
@@ -1,4 +1,4 @@
-"""Fake plain service, whose calls have effects that are recorded."""
+"""Fake endpoint of the kind ``plain``; records one effect for each executed call."""
 
 import msgspec
 from aiohttp import web
@@ -10,7 +10,7 @@
 
 @standin
 class PlainStandIn(StandIn):
-    """Serves ``POST /v1/{operation}``; each record stands for one effect."""
+    """Serves ``POST /v1/{operation}``; each record is one effect."""
 
     kind = "plain"
 
--- a/packages/standins/src/amaranthtally/standins/plan.py
+++ b/packages/standins/src/amaranthtally/standins/plan.py
@@ -41,7 +41,7 @@
 
 
 class DeploymentPlan(msgspec.Struct, frozen=True):
-    """The parts of a deployment; ``settings`` is the initial tree, by scope."""
+    """The parts of a deployment; ``settings`` is the initial tree of settings."""
 
     name: str
     latency_ms: Latency
--- a/packages/standins/src/amaranthtally/standins/platform.py
+++ b/packages/standins/src/amaranthtally/standins/platform.py
@@ -42,7 +42,7 @@
 
 @standin
 class PlatformStandIn(StandIn):
-    """Keeps its state in memory and counts the calls by caller and kind."""
+    """Keeps its state in memory and counts calls by caller and kind."""
 
     kind = "platform"
 
@@ -81,8 +81,10 @@
         key = request.match_info["key"]
         recurse = "recurse" in request.query
         if watch:
-            wait = float(request.query.get("wait", f"{DEFAULT_WAIT_S}s").rstrip("s"))
-            await self._wait_for_change(key, recurse, int(request.query["index"]), wait)
+            wait_s = float(request.query.get("wait", f"{DEFAULT_WAIT_S}s").rstrip("s"))
+            await self._wait_for_change(
+                key, recurse, int(request.query["index"]), wait_s
+            )
             if self.knobs.outage:
                 return web.Response(status=503, text="outage by a knob")
         self._expire_sessions()
@@ -156,7 +158,7 @@
         return max((item.modify_index for _, item in items), default=self._index)
 
     async def _wait_for_change(
-        self, key: str, recurse: bool, index: int, wait: float
+        self, key: str, recurse: bool, index: int, wait_s: float
     ) -> None:
         def changed() -> bool:
             return (
@@ -166,7 +168,7 @@
 
         async with self._changed:
             try:
-                async with asyncio.timeout(wait):
+                async with asyncio.timeout(wait_s):
                     await self._changed.wait_for(changed)
             except TimeoutError:
                 return
@@ -185,9 +187,9 @@
         session_request = (
             msgspec.json.decode(body, type=_Session) if body else _Session()
         )
-        ttl = float(session_request.TTL.rstrip("s"))
+        ttl_s = float(session_request.TTL.rstrip("s"))
         session = secrets.token_hex(8)
-        self._sessions[session] = (time.monotonic() + ttl, ttl)
+        self._sessions[session] = (time.monotonic() + ttl_s, ttl_s)
         return json_response({"ID": session})
 
     async def _renew_session(self, request: web.Request) -> web.Response:
@@ -198,8 +200,8 @@
         session = request.match_info["id"]
         if session not in self._sessions:
             return web.Response(status=404, text="no such session")
-        _, ttl = self._sessions[session]
-        self._sessions[session] = (time.monotonic() + ttl, ttl)
+        _, ttl_s = self._sessions[session]
+        self._sessions[session] = (time.monotonic() + ttl_s, ttl_s)
         return json_response([{"ID": session}])
 
     async def _destroy_session(self, request: web.Request) -> web.Response:
@@ -250,8 +252,10 @@
         now = time.monotonic()
         if self.knobs.weight_rate:
             if now < self._weights_free_at:
-                wait = self._weights_free_at - now
-                return web.Response(status=429, headers={"Retry-After": f"{wait:.1f}"})
+                wait_s = self._weights_free_at - now
+                return web.Response(
+                    status=429, headers={"Retry-After": f"{wait_s:.1f}"}
+                )
             self._weights_free_at = now + WEIGHT_BYTES / self.knobs.weight_rate
         self.records.append({"weights": request.match_info["model"], "at": now})
         return web.Response(body=bytes(WEIGHT_BYTES))
--- a/packages/standins/src/amaranthtally/standins/pools.py
+++ b/packages/standins/src/amaranthtally/standins/pools.py
@@ -1,4 +1,4 @@
-"""Fake encoders, retrievers and rerankers."""
+"""Fake encoders, retrievers and rerankers, whose output depends only on the input."""
 
 from hashlib import sha256
 from typing import Any
@@ -11,8 +11,8 @@
 __all__ = ["EncoderStandIn", "RerankerStandIn", "RetrieverStandIn"]
 
 DIMENSIONS = 16
-FOUND_DOCUMENTS = 8
-KEPT_DOCUMENTS = 3
+RETRIEVED_DOCUMENTS = 8
+RERANKED_DOCUMENTS = 3
 
 
 class _PoolStandIn(StandIn):
@@ -26,11 +26,11 @@
         fault = await self.before_effect()
         if fault is not None:
             return fault
-        answer = self.answer(msgspec.json.decode(body))
+        response = self.compute_response(msgspec.json.decode(body))
         await self.after_effect()
-        return json_response(answer)
+        return json_response(response)
 
-    def answer(self, body: dict[str, Any]) -> dict[str, Any]:
+    def compute_response(self, body: dict[str, Any]) -> dict[str, Any]:
         raise NotImplementedError
 
 
@@ -41,8 +41,8 @@
     kind = "encoder"
     path = "/v1/embeddings"
 
-    def answer(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Return a vector that is computed from the input's digest."""
+    def compute_response(self, body: dict[str, Any]) -> dict[str, Any]:
+        """Return an embedding computed from the input's digest."""
         digest = sha256(msgspec.json.encode(body["input"])).digest()
         vector = [byte / 255 for byte in digest[:DIMENSIONS]]
         return {"data": [{"index": 0, "embedding": vector}]}
@@ -55,10 +55,10 @@
     kind = "retriever"
     path = "/v1/search"
 
-    def answer(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Return documents named after the query's digest."""
+    def compute_response(self, body: dict[str, Any]) -> dict[str, Any]:
+        """Return document names that contain the query's digest."""
         name = sha256(msgspec.json.encode(body["query"])).hexdigest()[:8]
-        return {"documents": [f"manual {name}-{i}" for i in range(FOUND_DOCUMENTS)]}
+        return {"documents": [f"manual {name}-{i}" for i in range(RETRIEVED_DOCUMENTS)]}
 
 
 @standin
@@ -68,7 +68,7 @@
     kind = "reranker"
     path = "/v1/rerank"
 
-    def answer(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Return the best ``KEPT_DOCUMENTS`` documents, ranked by their digests."""
+    def compute_response(self, body: dict[str, Any]) -> dict[str, Any]:
+        """Return the ``RERANKED_DOCUMENTS`` documents with the lowest digests."""
         ranked = sorted(body["documents"], key=lambda d: sha256(d.encode()).digest())
-        return {"documents": ranked[:KEPT_DOCUMENTS]}
+        return {"documents": ranked[:RERANKED_DOCUMENTS]}
--- a/packages/standins/src/amaranthtally/standins/ports.py
+++ b/packages/standins/src/amaranthtally/standins/ports.py
@@ -14,10 +14,10 @@
     """
     Yield a port for processes that listen on it one after another.
 
-    The kernel may assign a port that is merely free to another process, as an
-    ephemeral port of a listener or of an outgoing connection, before the intended
-    process listens on it. This function binds a socket that never listens: the kernel
-    then no longer assigns the port, and a listener that sets ``SO_REUSEADDR`` can
+    If the port were only chosen and not bound, the kernel could assign it to another
+    process, as an ephemeral port of a listener or of an outgoing connection, before the
+    intended process listens on it. This function binds a socket that never listens. The
+    kernel then does not assign the port, and a listener that sets ``SO_REUSEADDR`` can
     still use it.
     """
     with socket.socket() as reservation:
--- a/packages/standins/src/amaranthtally/standins/process.py
+++ b/packages/standins/src/amaranthtally/standins/process.py
@@ -16,20 +16,24 @@
 PAIR = re.compile(rb"(\w+)=(\S+)")
 START_TIMEOUT_S = 60.0
 STOP_TIMEOUT_S = 30.0
-KEPT_LINES = 2000
+MAX_LINES = 2000
 
 
 class StartError(Exception):
-    """A process ended or timed out before it logged that it listens."""
+    """A process ended or timed out before it logged the event ``listening``."""
 
 
 class Process:
-    """A child process that logs a ``listening`` line with its ports."""
+    """
+    A child process that logs the event ``listening`` with its ports.
+
+    ``lines`` holds the last ``MAX_LINES`` lines of its output.
+    """
 
     def __init__(self, name: str, child: asyncio.subprocess.Process) -> None:
         self.name = name
         self.ports: dict[str, int] = {}
-        self.lines: deque[str] = deque(maxlen=KEPT_LINES)
+        self.lines: deque[str] = deque(maxlen=MAX_LINES)
         self._child = child
         self._listening = asyncio.Event()
         self._reader = asyncio.create_task(self._read())
@@ -57,17 +61,17 @@
             tail = "\n".join(self.lines)
             raise StartError(f"{self.name} did not start:\n{tail}")
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to this process; do nothing if it has ended."""
         if self._child.returncode is not None:
             return
         # The child's send_signal() would reap the exit status of a process that has
         # just ended before the event loop does, and the loop would then report 255.
         with suppress(ProcessLookupError):
-            os.kill(self._child.pid, number)
+            os.kill(self._child.pid, signal_number)
 
     def pause_output(self) -> None:
-        """Stop reading the process's output, as a log collector that hangs does."""
+        """Stop reading the process's output, like a log collector that hangs."""
         self._output().pause_reading()
 
     def resume_output(self) -> None:
@@ -86,7 +90,11 @@
         return code
 
     async def stop(self) -> int:
-        """Send SIGTERM, and SIGKILL after ``STOP_TIMEOUT_S``; return the exit code."""
+        """
+        Send SIGTERM, and SIGKILL after ``STOP_TIMEOUT_S``; return the exit code.
+
+        SIGCONT precedes SIGTERM, since a suspended process would not handle it.
+        """
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         try:
@@ -116,7 +124,7 @@
 
 
 async def spawn_process(name: str, module: str, *arguments: str | Path) -> Process:
-    """Run ``python -m module`` without waiting until it listens."""
+    """Run ``python -m module``; don't wait until it listens."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -131,7 +139,7 @@
 
 
 async def start_process(name: str, module: str, *arguments: str | Path) -> Process:
-    """Run ``python -m module`` and wait until it listens."""
+    """Run ``python -m module``; wait until it listens. Raises ``StartError``."""
     process = await spawn_process(name, module, *arguments)
     try:
         await process.wait_listening()
--- a/packages/standins/src/amaranthtally/standins/quickstart.py
+++ b/packages/standins/src/amaranthtally/standins/quickstart.py
@@ -1,8 +1,8 @@
 """
 Start a small deployment on loopback and send one request through it.
 
-Run by ``scripts/quickstart``. All processes end on Ctrl-C, or with ``--once`` after the
-first request.
+Run by ``scripts/quickstart``. All processes end on Ctrl-C; with ``--once`` they end
+after the first request.
 """
 
 import argparse
@@ -40,7 +40,7 @@
         if response.status != 200:
             sys.stdout.write(json.dumps(document, indent=2) + "\n")
             return 1
-        _print_answer(deployment, pipeline, document)
+        _print_response(deployment, pipeline, document)
         if not once:
             sys.stdout.write("\nCtrl-C ends the deployment.\n")
             await asyncio.Event().wait()
@@ -52,7 +52,7 @@
     return next(scopes).removeprefix("pipeline:")
 
 
-def _print_answer(deployment: Deployment, pipeline: str, document: dict) -> None:
+def _print_response(deployment: Deployment, pipeline: str, document: dict) -> None:
     lines = [f"\nAnswer to request {document['request_id']}:"]
     lines.append(f"  {document['output']['text']}\n")
     lines.append("Stages:")
--- a/packages/standins/src/amaranthtally/standins/registry.py
+++ b/packages/standins/src/amaranthtally/standins/registry.py
@@ -13,7 +13,8 @@
 __all__ = ["Handler", "Knobs", "StandIn", "build_standin", "standin", "standin_kinds"]
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-DIE_STATUS = 137
+# Exit status that a shell reports for a process ended by SIGKILL.
+KILLED_STATUS = 137
 
 
 class Knobs(msgspec.Struct):
@@ -21,11 +22,14 @@
     Faults, delays and sizes that a test can set; times are in seconds.
 
     ``die_before`` and ``die_after`` end the process at the n-th call, before or after
-    its effect. With ``stuck`` a call never has an effect or an answer; with
-    ``stuck_after`` it has its effect but is never answered. ``fail_rate`` is the share
-    of calls that get status 500; it is spread evenly by counting calls, not at random.
-    ``block_time`` is the time that an engine takes for each block that is not in its
-    cache. ``lose_orders`` is the number of orders that are executed but not answered.
+    its effect. With ``stuck`` a call has no effect and gets no response; with
+    ``stuck_after`` it has its effect but gets no response. ``fail_rate`` is the share
+    of calls that get status 500; the failures are spread evenly by counting calls, not
+    at random. ``lose_answers`` is the number of writes to the platform, and
+    ``lose_orders`` the number of orders to an engine, that are executed but get no
+    response. ``block_time`` is the time that an engine takes for each block that is not
+    in its cache. The lags delay an engine's load and cache events, and the platform's
+    list of hosts.
     """
 
     slow: float = 0.0
@@ -51,7 +55,7 @@
     host_lag: float = 2.0
 
     def set_from_text(self, pairs: list[str]) -> None:
-        """Set knobs written as ``name=value``."""
+        """Set knobs from texts of the form ``name=value``."""
         for pair in pairs:
             name, _, value = pair.partition("=")
             kind = type(getattr(self, name))
@@ -99,18 +103,18 @@
         return None
 
     async def after_effect(self) -> None:
-        """Apply the faults between a call's effect and its answer."""
+        """Apply the faults between a call's effect and its response."""
         if self.knobs.die_after and self._calls >= self.knobs.die_after:
             self._die()
         if self.knobs.stuck_after:
             await asyncio.Event().wait()
 
     def _die(self) -> None:
-        # The records are lost with the process, but the checks after a run need them.
+        # The checks after a run need the records, which would be lost with the process.
         for record in self.records:
             sys.stderr.write(f"event=died record={json.dumps(record)}\n")
         sys.stderr.flush()
-        os._exit(DIE_STATUS)
+        os._exit(KILLED_STATUS)
 
     async def _set_knobs(self, request: web.Request) -> web.Response:
         for name, value in msgspec.json.decode(await request.read()).items():
@@ -129,13 +133,13 @@
 
 
 def standin(cls: type[StandIn]) -> type[StandIn]:
-    """Register a kind of stand-in."""
+    """Register the class of a kind of stand-in; used as a decorator."""
     _KINDS[cls.kind] = cls
     return cls
 
 
 def standin_kinds() -> list[str]:
-    """Return the registered kinds."""
+    """Return the registered kinds, sorted."""
     return sorted(_KINDS)
 
 
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay for tests that can delay or lose bytes, reset, or limit the rate."""
+"""A TCP relay for tests that delays or drops bytes, resets or limits the rate."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,11 +11,12 @@
 __all__ = ["LinkFault", "Relay", "RateLimitedLink", "open_relays"]
 
 CHUNK_BYTES = 65_536
-# Bytes that a connection sends over a rate-limited link before the next one's turn.
+# Most bytes that one connection sends over a rate-limited link before other connections
+# may send.
 RATE_LIMITED_CHUNK_BYTES = 4096
-# When a sleep took too long, a rate-limited link makes up for at most this time, in
-# seconds. Otherwise its rate on a busy host would be far below the one that a test
-# expects.
+# Most time that a rate-limited link recovers after a sleep that took too long, in
+# seconds. Without this recovery the rate on a busy host would be far below the one that
+# a test expects.
 MAX_CATCH_UP_S = 0.2
 
 
@@ -23,39 +24,40 @@
     """
     How a link fails.
 
-    ``RESET`` aborts the open connections. ``HELD`` holds bytes back and delivers them
-    once the fault is cleared, as retransmission does. ``HALF_OPEN`` drops the bytes of
-    both directions, as when the peer has lost the connection's state.
-    ``ANSWERS_LOST`` drops only the bytes of replies.
+    ``RESET`` aborts the open connections. ``HELD`` holds back the bytes of both
+    directions and delivers them once the fault is cleared, like TCP's retransmission
+    after packet loss. ``HALF_OPEN`` drops the bytes of both directions, as when the
+    peer has lost the connection's state. ``REPLIES_LOST`` drops only the bytes of
+    replies.
     """
 
     RESET = "reset"
     HELD = "held"
     HALF_OPEN = "half open"
-    ANSWERS_LOST = "answers lost"
+    REPLIES_LOST = "answers lost"
 
 
 class _DirectionMode(Enum):
     FORWARD = "forward"
     HOLD = "hold"
-    DROP = "swallow"
+    DROP = "drop"
 
 
 _FAULT_MODES = {
     LinkFault.RESET: (_DirectionMode.FORWARD, _DirectionMode.FORWARD),
     LinkFault.HELD: (_DirectionMode.HOLD, _DirectionMode.HOLD),
     LinkFault.HALF_OPEN: (_DirectionMode.DROP, _DirectionMode.DROP),
-    LinkFault.ANSWERS_LOST: (_DirectionMode.FORWARD, _DirectionMode.DROP),
+    LinkFault.REPLIES_LOST: (_DirectionMode.FORWARD, _DirectionMode.DROP),
 }
 
 
 class RateLimitedLink:
-    """A limit in bytes per second that the replies of several relays share."""
+    """A limit in bytes per second, shared by the replies of several relays."""
 
     def __init__(self, bytes_per_s: float) -> None:
         self._bytes_per_s = bytes_per_s
         self._free_at = 0.0
-        self._overslept_s = 0.0
+        self._sleep_overrun_s = 0.0
         self._sent_bytes = 0
 
     @property
@@ -72,22 +74,23 @@
         """
         Wait until ``size`` bytes have been sent at the link's rate.
 
-        Only the time by which a sleep took too long is made up for. A link does not
-        get faster after it was idle.
+        If the previous sleep took too long, the wait is shortened by the excess, up to
+        ``MAX_CATCH_UP_S``. Idle time is not recovered, so a link that was idle does not
+        exceed its rate.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        catch_up_s = min(MAX_CATCH_UP_S, self._overslept_s)
+        catch_up_s = min(MAX_CATCH_UP_S, self._sleep_overrun_s)
         ends_at = max(now - catch_up_s, self._free_at) + size / self._bytes_per_s
         self._free_at = ends_at
-        self._overslept_s = 0.0
+        self._sleep_overrun_s = 0.0
         self._sent_bytes += size
         await asyncio.sleep(max(0.0, ends_at - now))
-        self._overslept_s = max(0.0, loop.time() - self._free_at)
+        self._sleep_overrun_s = max(0.0, loop.time() - self._free_at)
 
 
 class Relay:
-    """Forwards connections to one address: requests go to it, replies come from it."""
+    """Forwards TCP connections to one address; bytes that come from it are replies."""
 
     def __init__(self, target: str, link: RateLimitedLink | None = None) -> None:
         host, _, port = target.rpartition(":")
@@ -95,7 +98,7 @@
         self._link = link
         self._request_mode = _DirectionMode.FORWARD
         self._reply_mode = _DirectionMode.FORWARD
-        self._changed = asyncio.Event()
+        self._mode_changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
         self._port = 0
         self._forwarded_reply_bytes = 0
@@ -107,7 +110,7 @@
 
     @property
     def address(self) -> str:
-        """The address to which callers connect."""
+        """The address at which the relay accepts connections."""
         return f"{LOOPBACK}:{self._port}"
 
     def fail(self, fault: LinkFault) -> None:
@@ -117,7 +120,7 @@
         self._set_modes(*_FAULT_MODES[fault])
 
     def clear_fault(self) -> None:
-        """Forward again; reset the connections if the fault dropped bytes."""
+        """End the fault; reset the open connections if it dropped bytes."""
         has_dropped_bytes = _DirectionMode.DROP in (
             self._request_mode,
             self._reply_mode,
@@ -128,8 +131,8 @@
 
     def _set_modes(self, requests: _DirectionMode, replies: _DirectionMode) -> None:
         self._request_mode, self._reply_mode = requests, replies
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._mode_changed.set()
+        self._mode_changed = asyncio.Event()
 
     def _reset(self) -> None:
         for writer in list(self._writers):
@@ -168,13 +171,13 @@
             if link:
                 await link.throttle(len(data))
             while self._mode(requests) is _DirectionMode.HOLD:
-                await self._changed.wait()
+                await self._mode_changed.wait()
             if self._mode(requests) is _DirectionMode.DROP:
                 if data:
                     continue
-                await self._changed.wait()
+                await self._mode_changed.wait()
             if not data:
-                # Close instead of abort, so that bytes held back are still delivered.
+                # close() sends the bytes that are still buffered; abort() drops them.
                 writer.close()
                 return
             self._forwarded_reply_bytes += 0 if requests else len(data)
@@ -200,7 +203,12 @@
 async def open_relays(
     deployment: Deployment, *pools: str
 ) -> AsyncIterator[dict[str, Relay]]:
-    """Put relays before the sidecars of some pools; yield the relays by endpoint id."""
+    """
+    Open a relay to each sidecar of some pools; yield the relays by endpoint id.
+
+    The endpoints are registered at the relays' addresses, and every entry has applied
+    this registration.
+    """
     async with AsyncExitStack() as stack:
         relays: dict[str, Relay] = {}
         firm_settings = {}
--- a/packages/standins/src/amaranthtally/standins/store.py
+++ b/packages/standins/src/amaranthtally/standins/store.py
@@ -1,4 +1,4 @@
-"""A fake of the users' store: keys, conditional writes, watches, leases and faults."""
+"""Fake key-value store with conditional writes, watches, leases and faults."""
 
 import asyncio
 import base64
@@ -12,7 +12,7 @@
 __all__ = ["FakeStore", "StoreFaults", "open_store_standin"]
 
 MS_PER_S = 1000.0
-PAGE = 50
+MAX_PAGE_ENTRIES = 50
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,12 @@
 
 @dataclass(slots=True)
 class FakeStore:
-    """The store's state, which tests read and write directly, as an operator would."""
+    """
+    The store's state, which tests read and write directly, as an operator would.
+
+    ``calls`` lists the methods and paths of all requests. A watch from a revision
+    before ``compact_revision`` gets status 410.
+    """
 
     address: str = ""
     faults: StoreFaults = field(default_factory=StoreFaults)
@@ -71,7 +76,7 @@
             self.remove(key)
 
     def compact_history(self) -> None:
-        """Discard past changes; a watch from an earlier revision gets status 410."""
+        """Discard past changes; watches from earlier revisions then get status 410."""
         self.history.clear()
         self.compact_revision = self.revision
 
@@ -99,13 +104,13 @@
 def _app(store: FakeStore) -> web.Application:
     handlers = _StoreHandlers(store)
     app = web.Application(middlewares=[handlers.inject_faults])
-    app.router.add_get("/v1/kv-key", handlers.key)
-    app.router.add_get("/v1/kv-range", handlers.range)
-    app.router.add_get("/v1/kv-watch", handlers.watch)
+    app.router.add_get("/v1/kv-key", handlers.read_key)
+    app.router.add_get("/v1/kv-range", handlers.read_range)
+    app.router.add_get("/v1/kv-watch", handlers.watch_prefix)
     app.router.add_post("/v1/kv-txn", handlers.transact)
-    app.router.add_post("/v1/kv-lease", handlers.grant)
-    app.router.add_post("/v1/kv-keep/{lease}", handlers.renew)
-    app.router.add_delete("/v1/kv-lease-end/{lease}", handlers.end)
+    app.router.add_post("/v1/kv-lease", handlers.grant_lease)
+    app.router.add_post("/v1/kv-keep/{lease}", handlers.renew_lease)
+    app.router.add_delete("/v1/kv-lease-end/{lease}", handlers.end_lease)
     return app
 
 
@@ -118,29 +123,31 @@
         self._store.calls.append(f"{request.method} {request.path}")
         if self._store.faults.unavailable:
             return web.Response(status=503)
-        answer: web.StreamResponse = await handler(request)
+        response: web.StreamResponse = await handler(request)
         if self._store.faults.lost_responses and request.method != "GET":
             assert request.transport is not None
             request.transport.close()
-        return answer
+        return response
 
-    async def key(self, request: web.Request) -> web.Response:
+    async def read_key(self, request: web.Request) -> web.Response:
         name = request.query["key"]
         item = self._store.items.get(name)
         if item is None:
             return web.Response(status=404)
         return web.json_response({**_row(name, item), "at": self._store.revision})
 
-    async def range(self, request: web.Request) -> web.Response:
+    async def read_range(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], request.query.get("after", "")
         names = sorted(k for k in self._store.items if k.startswith(prefix))
         names = [name for name in names if name > after]
-        rows = [_row(name, self._store.items[name]) for name in names[:PAGE]]
-        more = len(names) > PAGE
-        body = {"entries": rows, "hasMore": more, "at": self._store.revision}
+        rows = [
+            _row(name, self._store.items[name]) for name in names[:MAX_PAGE_ENTRIES]
+        ]
+        has_more = len(names) > MAX_PAGE_ENTRIES
+        body = {"entries": rows, "hasMore": has_more, "at": self._store.revision}
         return web.json_response(body)
 
-    async def watch(self, request: web.Request) -> web.Response:
+    async def watch_prefix(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], int(request.query["after"])
         wait_s = int(request.query["waitMs"]) / MS_PER_S
         loop = asyncio.get_running_loop()
@@ -181,17 +188,17 @@
             self._store.remove(key)
         return web.json_response({"revision": self._store.revision})
 
-    async def grant(self, request: web.Request) -> web.Response:
+    async def grant_lease(self, request: web.Request) -> web.Response:
         lease = max(self._store.leases, default=0) + 1
         self._store.leases.add(lease)
         body = await request.json()
         return web.json_response({"leaseId": lease, "ttlMs": body["ttlMs"]})
 
-    async def renew(self, request: web.Request) -> web.Response:
+    async def renew_lease(self, request: web.Request) -> web.Response:
         lease = int(request.match_info["lease"])
         return web.Response(status=200 if lease in self._store.leases else 404)
 
-    async def end(self, request: web.Request) -> web.Response:
+    async def end_lease(self, request: web.Request) -> web.Response:
         self._store.end_lease(int(request.match_info["lease"]))
         return web.Response()
 
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -15,14 +15,14 @@
 from tests.soak.faults import FAULTS
 from tests.soak.soak_run import DEFAULT_GATEWAYS, open_soak
 
-AT_ONCE = 12
-# Faults of a whole process. A gateway has only one of them at a time, since most of
+CONCURRENCY = 12
+# Faults of a whole process. A gateway has at most one of them at a time, since most of
 # them restart it.
 PROCESS_FAULTS = ("kill", "planned_stop", "stop_among_signals", "pause")
-# Range of the time between two injections, in seconds. Several faults last longer, so
-# that they overlap.
+# Shortest and longest time between two injections, in seconds. Many faults last longer,
+# so that faults overlap.
 INJECTION_INTERVAL_S = (0.1, 1.2)
-# Share of the injections that start two faults at once.
+# Probability that an injection starts two faults.
 SIMULTANEOUS_SHARE = 0.3
 # Time after the last fault within which every gateway must be ready again, in seconds.
 RECOVERY_TIMEOUT_S = 8.0
@@ -38,7 +38,7 @@
     async with open_soak(folder, gateways) as run:
         callers = Callers(run, Random(random.random()))
         loop = asyncio.get_running_loop()
-        calling = asyncio.create_task(callers.run(AT_ONCE, loop.time() + seconds))
+        calling = asyncio.create_task(callers.run(CONCURRENCY, loop.time() + seconds))
         await _inject_faults(run, random, loop.time() + seconds)
         await calling
         await _check_recovery(run, random)
@@ -60,19 +60,19 @@
     fault = FAULTS[random.choice(sorted(FAULTS))]
     name = random.choice(run.names)
     is_process = fault.__name__ in PROCESS_FAULTS
-    if is_process and name in run.disturbed:
+    if is_process and name in run.faulted:
         return
     if is_process:
-        run.disturbed.add(name)
+        run.faulted.add(name)
     try:
         await fault(run, random, name)
     finally:
         if is_process:
-            run.disturbed.discard(name)
+            run.faulted.discard(name)
 
 
 async def _check_recovery(run, random):
-    """Check that every gateway becomes ready without intervention, and serves."""
+    """Check that every gateway becomes ready by itself and serves requests."""
     for script in run.scripts.values():
         script.inject_fault("", 0)
     try:
@@ -85,7 +85,7 @@
     await asyncio.sleep(RECOVERY_TIMEOUT_S / 2)
     await _check_last_version(run, random)
     final_callers = Callers(run, Random(random.random()), "last-")
-    await final_callers.run(AT_ONCE, asyncio.get_running_loop().time() + 1.0)
+    await final_callers.run(CONCURRENCY, asyncio.get_running_loop().time() + 1.0)
     served = final_callers.statuses.get(200, 0) / max(
         1, sum(final_callers.statuses.values())
     )
@@ -145,8 +145,10 @@
     has_violations = False
     for seed in range(arguments.seed, arguments.seed + arguments.seeds):
         with tempfile.TemporaryDirectory() as folder:
-            soak = run_soak(seed, arguments.seconds, Path(folder), arguments.gateways)
-            violations, statuses = asyncio.run(soak)
+            coroutine = run_soak(
+                seed, arguments.seconds, Path(folder), arguments.gateways
+            )
+            violations, statuses = asyncio.run(coroutine)
         has_violations |= bool(violations)
         sys.stdout.write(f"seed={seed} statuses={sorted(statuses.items())} ")
         sys.stdout.write(f"violations={len(violations)}\n")
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak run, which check each response and record its status."""
+"""Callers of a soak run, which check each response and count its status."""
 
 import asyncio
 
@@ -11,15 +11,20 @@
 KINDS = ("order", "read", "ask")
 # Statuses of refusals, which guarantee that the request has not run and never will.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
-# Longer than the time-out of any route, in seconds: a request that takes longer than
-# this counts as never answered.
-ANSWER_TIMEOUT_S = 9.0
-# Recorded instead of a status when the connection failed, as it may under faults.
-NO_ANSWER = 0
+# Time within which a gateway without a process fault must respond, in seconds. It is
+# longer than the time-out of any route.
+RESPONSE_TIMEOUT_S = 9.0
+# Counted instead of a status when the connection failed, which faults may cause.
+NO_RESPONSE = 0
 
 
 class Callers:
-    """Sends random requests from several concurrent callers."""
+    """
+    Sends random requests from several concurrent callers.
+
+    ``orders`` and ``not_run`` hold request ids: of all orders, and of all requests
+    that were refused without a run.
+    """
 
     def __init__(self, run, random, prefix=""):
         self._prefix = prefix
@@ -30,8 +35,8 @@
         self.not_run = []
         self.statuses = {}
 
-    async def run(self, at_once, end_at):
-        await asyncio.gather(*(self._send_requests(end_at) for _ in range(at_once)))
+    async def run(self, concurrency, end_at):
+        await asyncio.gather(*(self._send_requests(end_at) for _ in range(concurrency)))
 
     async def _send_requests(self, end_at):
         loop = asyncio.get_running_loop()
@@ -51,14 +56,14 @@
         }
         headers = gateway.headers(request_id, **headers if kind == "ask" else {})
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 status, signature, body = await self._send(gateway, kind, headers)
         except (aiohttp.ClientError, OSError):
-            status, signature, body = NO_ANSWER, "", b""
+            status, signature, body = NO_RESPONSE, "", b""
         except TimeoutError:
             has_ended = gateway.process.exit_code is not None
-            if not has_ended and gateway.process.name not in self._soak_run.disturbed:
-                self._soak_run.violations.append(f"{request_id}: never answered")
+            if not has_ended and gateway.process.name not in self._soak_run.faulted:
+                self._soak_run.violations.append(f"{request_id}: no response")
             return
         self.statuses[status] = self.statuses.get(status, 0) + 1
         self._check(kind, request_id, status, signature, body)
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of a soak run, with faults on request and records of what they ran."""
+"""Scripts of a soak run's endpoints, which inject faults and record executions."""
 
 import itertools
 import json
@@ -15,8 +15,8 @@
 )
 
 EVENTS = 6
-# Numbers of pieces of the two stages of a streamed request. The engine gets as many
-# input handles as the second stage has pieces.
+# Number of pieces of each of the two stages before the engine. The engine gets one
+# input handle for each piece of the second stage.
 PIECES = (1, 2)
 
 
@@ -29,9 +29,11 @@
 
 
 class RunRecords:
-    """The runs of each request, the handles made, and wrong inputs that were sent.
+    """
+    The number of runs of each request, and the requests that came with wrong inputs.
 
-    ``piece_of_handle`` maps each handle to the request and the stage that made it.
+    ``piece_of_handle`` maps each handle that an endpoint returned to the request id and
+    the stage of its piece.
     """
 
     def __init__(self):
@@ -42,7 +44,7 @@
 
 
 class EndpointScript:
-    """Answers one endpoint's requests; the next ``faults_left`` get ``fault``."""
+    """Serves one endpoint's requests; the next ``faults_left`` fail with ``fault``."""
 
     def __init__(self, records, kind):
         self.records = records
@@ -54,7 +56,7 @@
         self.fault, self.faults_left = fault, count
 
     def __call__(self, request):
-        fault = self._take_fault(request)
+        fault = self._next_fault(request)
         if fault == "refuse":
             return [not_executed_response(request)]
         if request.target.endswith("free"):
@@ -70,7 +72,7 @@
             return [6.0]
         return steps
 
-    def _take_fault(self, request):
+    def _next_fault(self, request):
         if self.faults_left <= 0 or request.target.endswith("free"):
             return ""
         self.faults_left -= 1
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak run, by name; most of them undo themselves after a random time."""
+"""Faults of a soak run, by name; most are undone after a random time."""
 
 import asyncio
 import signal
@@ -8,8 +8,8 @@
 FAULTS = {}
 ENDPOINT_FAULTS = ("refuse", "reset before", "reset after", "twice", "hang")
 # Shortest and longest duration of a fault, in seconds.
-SHORT_S, LONG_S = 0.3, 2.5
-# Longest time between two signals of a series, in seconds.
+MIN_FAULT_S, MAX_FAULT_S = 0.3, 2.5
+# Longest time between two signals to a gateway that is stopping, in seconds.
 MAX_SIGNAL_INTERVAL_S = 0.3
 
 
@@ -20,7 +20,7 @@
 
 
 def random_duration_s(random):
-    return random.uniform(SHORT_S, LONG_S)
+    return random.uniform(MIN_FAULT_S, MAX_FAULT_S)
 
 
 @fault
@@ -39,7 +39,7 @@
 
 @fault
 async def stop_among_signals(run, random, name):
-    """Stop a gateway, and send it reloads, pauses and stops at random until it ends."""
+    """Stop a gateway; send it SIGHUP, SIGTERM and SIGSTOP at random until it ends."""
     stopping = asyncio.create_task(run.stop_gateway(name))
     process = run.gateways[name].process
     while not stopping.done():
@@ -67,6 +67,7 @@
 
 @fault
 async def store_link(run, random, name):
+    """Fail the link between a gateway and the store."""
     relay = run.relays[name]
     relay.fail(random.choice(list(LinkFault)))
     await asyncio.sleep(2.0 * random_duration_s(random))
@@ -85,16 +86,19 @@
 
 @fault
 async def store_silent(run, random, name):
+    """Leave watches without a response."""
     await _store_fault(run, random, "unanswered_watches")
 
 
 @fault
 async def store_forgets(run, random, name):
+    """Compact the store's history, so that gateways must read the keys again."""
     run.store.compact_history()
 
 
 @fault
 async def lease_lapses(run, random, name):
+    """Remove a gateway's record, as the store does when its lease expires."""
     run.store.remove(f"entries/{name}")
 
 
@@ -116,6 +120,7 @@
 
 @fault
 async def endpoint_leaves(run, random, name):
+    """Drain an endpoint, remove its record and register it again."""
     endpoint = random.choice(sorted(run.endpoints))
     run.register(endpoint, state="draining")
     await asyncio.sleep(random_duration_s(random))
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -1,6 +1,8 @@
-"""Gateways, a relay to the store for each of them, and endpoints, on loopback.
+"""
+The deployment of a soak run on loopback: a store, gateways and endpoints.
 
-One of the relays has a limited rate: a large configuration takes seconds.
+Each gateway is connected to the store by a relay of its own. One relay has a limited
+rate, so that a large configuration takes seconds.
 """
 
 import asyncio
@@ -33,22 +35,24 @@
 # The gateway with a rate-limited link to the store, and the rate in bytes per second.
 RATE_LIMITED_GATEWAY = "gateway-2"
 LINK_BYTES_PER_S = 300_000.0
-# Number of routes that a larger version adds, how often the configuration grows, and
-# the size in bits of the routes' random names, which do not compress.
-MORE_ROUTES = 400
+# Number of routes that a larger version adds, the largest number of such additions, and
+# the size of the routes' names in bits. The names are random, so that they do not
+# compress.
+ADDITIONAL_ROUTES = 400
 MAX_GROWTHS = 3
 ROUTE_NAME_BITS = 512
-# Time that a gateway has for a planned stop, and the tolerance beyond it, in seconds.
+# Grace time of a gateway for a planned stop, and its tolerance, in seconds.
 GRACE_S = 6.0
 GRACE_TOLERANCE_S = 1.0
-# Number of a process's last log lines that a violation shows.
+# Number of last log lines of the process that a violation includes.
 LOG_LINES = 40
 
 
 class SoakRun:
-    """The processes and endpoints of a soak run, and the violations found.
+    """
+    The processes and endpoints of a soak run, and the violations of its guarantees.
 
-    ``disturbed`` names the gateways on which a process fault is acting.
+    ``faulted`` holds the names of the gateways that have a process fault.
     """
 
     def __init__(self, cluster, stack, gateways):
@@ -60,12 +64,12 @@
         self.endpoints = {}
         self.relays = {}
         self.gateways = {}
-        self.disturbed = set()
+        self.faulted = set()
         self.violations = []
         self._stack = stack
         self._addresses = {}
         self._version = 0
-        self._more_routes = []
+        self._additional_routes = []
 
     async def start(self):
         for pool, (kind, count) in ENDPOINTS.items():
@@ -100,22 +104,24 @@
         self.store.put(f"servers/{name}", endpoint.record(pool, data_centre, **record))
 
     def configure(self):
-        """Write a new version; return its number."""
+        """Write a new version of the configuration; return its number."""
         self._version += 1
-        routes = (*ROUTES, *self._more_routes)
+        routes = (*ROUTES, *self._additional_routes)
         self.cluster.configure(self._version, *routes, services=SERVICES)
         return self._version
 
     def write_larger_version(self, random):
-        """Write a version with ``MORE_ROUTES`` more routes; return its number.
+        """
+        Write a version with ``ADDITIONAL_ROUTES`` more routes; return its number.
 
         The configuration grows at most ``MAX_GROWTHS`` times.
         """
-        if len(self._more_routes) < MAX_GROWTHS * MORE_ROUTES:
+        if len(self._additional_routes) < MAX_GROWTHS * ADDITIONAL_ROUTES:
             names = [
-                f"{random.getrandbits(ROUTE_NAME_BITS):x}" for _ in range(MORE_ROUTES)
+                f"{random.getrandbits(ROUTE_NAME_BITS):x}"
+                for _ in range(ADDITIONAL_ROUTES)
             ]
-            self._more_routes += [route(name, service="read") for name in names]
+            self._additional_routes += [route(name, service="read") for name in names]
         return self.configure()
 
     async def start_gateway(self, name):
@@ -131,7 +137,7 @@
         )
 
     async def stop_gateway(self, name):
-        """Stop a gateway with SIGTERM; it must end with code 0 within its grace."""
+        """Stop a gateway; it must exit with code 0 within its grace time."""
         process = self.gateways[name].process
         process.send(signal.SIGTERM)
         try:
@@ -142,7 +148,7 @@
             await asyncio.sleep(1.0)
             last_lines = "\n    ".join(list(process.lines)[-LOG_LINES:])
             self.violations.append(
-                f"{name} still runs after its grace:\n    {last_lines}"
+                f"{name} still runs after its grace time:\n    {last_lines}"
             )
             await process.kill()
             return
@@ -152,8 +158,8 @@
 
 @asynccontextmanager
 async def open_soak(folder, gateways=DEFAULT_GATEWAYS):
-    """Yield a soak world with every gateway ready; stop everything on exit."""
+    """Yield a soak run with every gateway ready; end its processes on exit."""
     async with open_gateway_cluster(folder) as cluster, AsyncExitStack() as stack:
-        soak = SoakRun(cluster, stack, gateways)
-        await soak.start()
-        yield soak
+        run = SoakRun(cluster, stack, gateways)
+        await run.start()
+        yield run
--- a/tests/soak/test_gateway_soak.py
+++ b/tests/soak/test_gateway_soak.py
@@ -8,9 +8,9 @@
 SECONDS = 6.0
 # Seeds that failed in the past, each with its cause, and one that never failed.
 SEEDS = {
-    2: "a gateway ran past its grace: no time-out for a kept-alive connection",
+    2: "a gateway ran past its grace time: a kept-alive connection had no time-out",
     9502: "a second stop signal at the end of a planned stop killed the process",
-    9603: "an engine was sent a request whose inputs had just been freed",
+    9603: "an engine was sent a request whose inputs had just been released",
     11: "has not failed",
 }
 
