--- a/packages/standins/src/amaranthtally/standins/platform.py
+++ b/packages/standins/src/amaranthtally/standins/platform.py
@@ -24,7 +24,7 @@
 INDEX_HEADER = "X-Consul-Index"
 DEFAULT_WAIT_S = 30.0
 WEIGHT_BYTES = 65_536
-TAG_DIGITS = 32
+ETAG_DIGITS = 32
 CALLER_HEADER = "X-Caller"
 
 
@@ -235,10 +235,10 @@
             host: state for at, host, state in self._hosts if at <= latest_visible
         }
         rows = [{"host": h, "state": s} for h, s in states.items()]
-        tag = f'"{sha256(msgspec.json.encode(rows)).hexdigest()[:TAG_DIGITS]}"'
-        if request.headers.get(hdrs.IF_NONE_MATCH) == tag:
+        etag = f'"{sha256(msgspec.json.encode(rows)).hexdigest()[:ETAG_DIGITS]}"'
+        if request.headers.get(hdrs.IF_NONE_MATCH) == etag:
             return web.Response(status=304)
-        return json_response(rows, ETag=tag)
+        return json_response(rows, ETag=etag)
 
     async def _set_host(self, request: web.Request) -> web.Response:
         info = request.match_info
--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay for tests that delays or drops bytes, resets or limits the rate."""
+"""A TCP relay for tests that injects faults into links and limits their rate."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -34,7 +34,7 @@
     RESET = "reset"
     HELD = "held"
     HALF_OPEN = "half open"
-    REPLIES_LOST = "answers lost"
+    REPLIES_LOST = "replies lost"
 
 
 class _DirectionMode(Enum):
@@ -90,7 +90,7 @@
 
 
 class Relay:
-    """Forwards TCP connections to one address; bytes that come from it are replies."""
+    """Forwards TCP connections to one target; bytes from the target are replies."""
 
     def __init__(self, target: str, link: RateLimitedLink | None = None) -> None:
         host, _, port = target.rpartition(":")
