--- a/tests/soak/test_gateway_soak.py
+++ b/tests/soak/test_gateway_soak.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_guarantees_hold_under_random_faults(seed, tmp_path):
     """
-    Guards against wrong or missing answers while processes are killed, paused and
+    Guards against wrong or missing responses while processes are killed, paused and
     restarted, the store fails, and endpoints reset connections, leave and hang.
     """
     violations, statuses = run_async(run_soak(seed, SECONDS, tmp_path))
