--- a/packages/standins/src/amaranthtally/standins/relay.py
+++ b/packages/standins/src/amaranthtally/standins/relay.py
@@ -34,7 +34,7 @@
     RESET = "reset"
     HELD = "held"
     HALF_OPEN = "half open"
-    REPLIES_LOST = "replies lost"
+    REPLIES_LOST = "answers lost"
 
 
 class _DirectionMode(Enum):
