--- a/packages/standins/src/amaranthtally/standins/chaos/record_checks.py
+++ b/packages/standins/src/amaranthtally/standins/chaos/record_checks.py
@@ -1,9 +1,9 @@
-"""Checks the answers of a randomised run against the records of the stand-ins."""
+"""Checks the responses of a randomised run against the records of the stand-ins."""
 
 from collections import defaultdict
 
 from amaranthtally.standins.chaos.callers import Callers
-from amaranthtally.standins.chaos.world import World
+from amaranthtally.standins.chaos.chaos_run import ChaosRun
 
 __all__ = ["EFFECT_POOL", "ENGINE_POOL", "check_records"]
 
@@ -11,42 +11,43 @@
 ENGINE_POOL = "assessment"
 
 
-async def check_records(world: World, callers: Callers) -> None:
-    """Add a violation for each answer that contradicts the records."""
-    await _check_effects(world, callers)
-    await _check_not_run(world, callers)
+async def check_records(run: ChaosRun, callers: Callers) -> None:
+    """Add a violation for each response that contradicts the records."""
+    await _check_effects(run, callers)
+    await _check_not_run(run, callers)
 
 
-async def _check_effects(world: World, callers: Callers) -> None:
+async def _check_effects(run: ChaosRun, callers: Callers) -> None:
     recorded_orders: dict[str, list[str]] = defaultdict(list)
-    for pair in world.deployment.pool(EFFECT_POOL):
-        for record in await world.deployment.records(pair.service):
+    for pair in run.deployment.pool(EFFECT_POOL):
+        for record in await run.deployment.records(pair.service):
             key = record["input"]["to"]
             recorded_orders[key].append(f"{pair.service.name}-{record['number']}")
-    for effect in callers.effects:
-        orders = recorded_orders[effect.key]
-        answered = set(effect.orders)
+    for outcomes in callers.key_outcomes:
+        orders = recorded_orders[outcomes.key]
+        confirmed = set(outcomes.orders)
         if len(orders) > 1:
-            world.add_violation(f"{effect.key} has {len(orders)} effects: {orders}")
-        if not answered <= set(orders):
-            world.add_violation(
-                f"{effect.key} was answered {answered}, recorded {orders}"
+            run.add_violation(f"{outcomes.key} has {len(orders)} effects: {orders}")
+        if not confirmed <= set(orders):
+            run.add_violation(
+                f"{outcomes.key} got responses for {confirmed}, recorded {orders}"
             )
-        if orders and not answered and not effect.unknown:
-            world.add_violation(
-                f"{effect.key} has an effect, but every answer was not_run"
+        if orders and not confirmed and not outcomes.unknown:
+            run.add_violation(
+                f"{outcomes.key} has an effect, but every response was not_run"
             )
-    world.counts["effects recorded"] = sum(
+    run.counts["effects recorded"] = sum(
         len(orders) for orders in recorded_orders.values()
     )
 
 
-async def _check_not_run(world: World, callers: Callers) -> None:
+async def _check_not_run(run: ChaosRun, callers: Callers) -> None:
     run_ids = set()
-    for pair in world.deployment.pool(ENGINE_POOL):
+    for pair in run.deployment.pool(ENGINE_POOL):
         run_ids |= {
-            r.get("request_id") for r in await world.deployment.records(pair.service)
+            record.get("request_id")
+            for record in await run.deployment.records(pair.service)
         }
     for request_id in callers.not_run_ids:
         if request_id in run_ids:
-            world.add_violation(f"{request_id} was answered not_run but has run")
+            run.add_violation(f"{request_id} got the outcome not_run, but was run")
